--- a/src/dispatch/advice_book.cc
+++ b/src/dispatch/advice_book.cc
@@ -10,7 +10,8 @@
 
 namespace limeledge::dispatch {
 
-std::string AdviceBook::TicketFor(const StepName& step, const LifeId& runner,
+std::string AdviceBook::TicketFor(const StepName& step,
+                                  const IncarnationId& runner,
                                   TimePoint now) const {
   const auto found = steps_.find(step);
   if (found == steps_.end()) return "";
@@ -20,9 +21,9 @@
   return holds ? entry->second.ticket : "";
 }
 
-std::set<LifeId> AdviceBook::Allowed(const StepName& step,
-                                     TimePoint now) const {
-  std::set<LifeId> allowed;
+std::set<IncarnationId> AdviceBook::Allowed(const StepName& step,
+                                            TimePoint now) const {
+  std::set<IncarnationId> allowed;
   const auto found = steps_.find(step);
   if (found == steps_.end()) return allowed;
   for (const auto& [runner, entry] : found->second) {
@@ -34,12 +35,12 @@
 }
 
 void AdviceBook::Ask(Context& ctx, const StepName& step,
-                     const std::vector<LifeId>& runners) {
+                     const std::vector<IncarnationId>& runners) {
   if (under_way_ || ctx.now() < next_at_) return;
-  std::map<LifeId, Entry>& known = steps_[step];
+  std::map<IncarnationId, Entry>& known = steps_[step];
   AskAdvice ask;
   ask.step = step;
-  for (const LifeId& runner : runners) {
+  for (const IncarnationId& runner : runners) {
     if (ask.runners.size() == options_.runners_per_call) break;
     const auto entry = known.find(runner);
     const bool unknown = entry == known.end();
@@ -61,8 +62,8 @@
     ctx.Log(LogId::kAdviceFailed, {{"step", ToString(answer.step)}});
     return;
   }
-  std::map<LifeId, Entry>& known = steps_[answer.step];
-  for (const LifeId& runner : answer.asked) known[runner] = Entry();
+  std::map<IncarnationId, Entry>& known = steps_[answer.step];
+  for (const IncarnationId& runner : answer.asked) known[runner] = Entry();
   for (const auto& [runner, ticket] : answer.tickets) {
     known[runner] = {true, ticket, ctx.now() + answer.valid - stood_still};
   }
--- a/src/dispatch/advice_book.h
+++ b/src/dispatch/advice_book.h
@@ -37,15 +37,15 @@
 
   /// The ticket with which the step may start at the runner now; empty for
   /// none.
-  std::string TicketFor(const StepName& step, const LifeId& runner,
+  std::string TicketFor(const StepName& step, const IncarnationId& runner,
                         TimePoint now) const;
   /// Runners that `step` may start on now.
-  std::set<LifeId> Allowed(const StepName& step, TimePoint now) const;
+  std::set<IncarnationId> Allowed(const StepName& step, TimePoint now) const;
 
   /// Asks about some of `runners` for `step`, if no call is under way and
   /// something is to be learnt. Runners in front go first.
   void Ask(Context& ctx, const StepName& step,
-           const std::vector<LifeId>& runners);
+           const std::vector<IncarnationId>& runners);
   void Take(Context& ctx, const AdviceAnswered& answer);
   /// Forgets the job's steps.
   void Forget(const JobId& job);
@@ -68,7 +68,7 @@
   /// How long the process stood still since the call under way was sent.
   Duration stood_still_;
   TimePoint next_at_;
-  std::map<StepName, std::map<LifeId, Entry>> steps_;
+  std::map<StepName, std::map<IncarnationId, Entry>> steps_;
 };
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -81,7 +81,7 @@
 /// Where an order goes: the life of a runner that is meant, at an address. A
 /// next life under the same id obeys it as well.
 struct OrderTarget {
-  LifeId life;
+  IncarnationId life;
   std::string address;
   Epoch epoch;
 };
@@ -117,7 +117,7 @@
 /// Asks on which of the runners the step may run.
 struct AskAdvice {
   StepName step;
-  std::vector<LifeId> runners;
+  std::vector<IncarnationId> runners;
 };
 
 /// Asks a peer whether the store answers it.
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -128,7 +128,7 @@
 
 struct RunnerLooked {
   /// The life that was to be looked at.
-  LifeId asked;
+  IncarnationId asked;
   LookNumber number;
   /// Tells which life of the runner answered.
   Birth born;
@@ -142,7 +142,7 @@
 /// Answers to orders do not tell which life of the runner gave them.
 struct StartAnswered {
   /// The life that the order was meant for.
-  LifeId asked;
+  IncarnationId asked;
   Epoch epoch;
   TaskName task;
   int run = 0;
@@ -153,7 +153,7 @@
 };
 
 struct StopAnswered {
-  LifeId asked;
+  IncarnationId asked;
   Epoch epoch;
   TaskName task;
   int run = 0;
@@ -165,9 +165,9 @@
 struct AdviceAnswered {
   StepName step;
   bool ok = false;
-  std::vector<LifeId> asked;
+  std::vector<IncarnationId> asked;
   /// Tickets of those that may.
-  std::map<LifeId, std::string> tickets;
+  std::map<IncarnationId, std::string> tickets;
   /// How long the tickets hold.
   Duration valid;
 };
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -12,7 +12,7 @@
 
 namespace limeledge::dispatch {
 
-Runner* Fleet::Find(const LifeId& life) {
+Runner* Fleet::Find(const IncarnationId& life) {
   const auto found = runners_.find(life.runner);
   if (found == runners_.end() || found->second->life() != life) return nullptr;
   Touch(found->second.get());
@@ -32,7 +32,7 @@
   return place.get();
 }
 
-Runner* Fleet::FindOrInherit(const LifeId& life, TimePoint now) {
+Runner* Fleet::FindOrInherit(const IncarnationId& life, TimePoint now) {
   Runner* runner = FindPresent(life.runner);
   if (runner == nullptr) {
     RunnerInfo info;
--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -68,7 +68,7 @@
                     [phase](const Task& task) { return task.phase == phase; }));
 }
 
-Duration Step::UsualElsewhere(const LifeId& life) const {
+Duration Step::UsualElsewhere(const IncarnationId& life) const {
   Duration sum;
   std::int64_t count = 0;
   for (const auto& [other, length] : seen_lengths) {
@@ -129,7 +129,7 @@
   return true;
 }
 
-void Job::Assign(const TaskName& name, int run, const LifeId& life,
+void Job::Assign(const TaskName& name, int run, const IncarnationId& life,
                  TimePoint now) {
   Task* task = Find(name);
   task->phase = TaskPhase::kAssigned;
@@ -141,7 +141,7 @@
   if (state_ == JobState::kQueued) state_ = JobState::kRunning;
 }
 
-void Job::MoveRun(const TaskName& name, int run, const LifeId& life) {
+void Job::MoveRun(const TaskName& name, int run, const IncarnationId& life) {
   Task* task = Find(name);
   if (task == nullptr || task->phase != TaskPhase::kAssigned) return;
   if (task->run == run) task->life = life;
@@ -165,7 +165,7 @@
     Step& failed = occurrences_[name.occurrence].steps[name.step];
     failed.failed_on.insert(task->life);
   }
-  task->life = LifeId();
+  task->life = IncarnationId();
   task->phase = TaskPhase::kWaiting;
   if (step.gang) {
     EndGangRun(name, end, checkpoint, max_attempts);
@@ -238,7 +238,7 @@
   if (task != nullptr) ForgetOutlived(lasted, rules, &task->losses);
 }
 
-bool Job::SettleLosses(const TaskName& name, const LifeId& life,
+bool Job::SettleLosses(const TaskName& name, const IncarnationId& life,
                        LifeFate fate) {
   Task* task = Find(name);
   if (task == nullptr) return false;
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -62,7 +62,7 @@
   int run = 0;
   int failures = 0;
   /// Where its present run was started.
-  LifeId life;
+  IncarnationId life;
   /// Newest saved progress; empty for none.
   std::string checkpoint;
   /// Runs that went with their runners and tell against the task.
@@ -88,14 +88,14 @@
   /// The length of one of its runs was learnt; the others are much alike.
   bool learnt = false;
   /// Runners on which a run of one of its tasks failed; others are tried first.
-  std::set<LifeId> failed_on;
+  std::set<IncarnationId> failed_on;
   /// The shortest length that runs on each runner were seen to have: what is
   /// long everywhere is no runner's fault.
-  std::map<LifeId, Duration> seen_lengths;
+  std::map<IncarnationId, Duration> seen_lengths;
 
   int CountIn(TaskPhase phase) const;
   /// The mean length seen on other runners than that of `life`; 0 for none.
-  Duration UsualElsewhere(const LifeId& life) const;
+  Duration UsualElsewhere(const IncarnationId& life) const;
 };
 
 /// One occurrence of a job's steps.
@@ -142,10 +142,11 @@
   /// Decides on a new run of `name` at `runner`; returns the run's number.
   /// All members of a gang are assigned with one `run`.
   /// Precondition: the task waits, and `run` is above all of its runs.
-  void Assign(const TaskName& name, int run, const LifeId& life, TimePoint now);
+  void Assign(const TaskName& name, int run, const IncarnationId& life,
+              TimePoint now);
   /// Notes that the task's present run is to be found on another life of its
   /// runner.
-  void MoveRun(const TaskName& name, int run, const LifeId& life);
+  void MoveRun(const TaskName& name, int run, const IncarnationId& life);
   /// Smallest number for a next run of the step's task, or of its whole gang.
   int NextRun(const TaskName& name) const;
 
@@ -170,7 +171,8 @@
                   const LossRules& rules);
   /// Notes what became of a life that the task lost runs with. Returns false if
   /// nothing changes.
-  bool SettleLosses(const TaskName& name, const LifeId& life, LifeFate fate);
+  bool SettleLosses(const TaskName& name, const IncarnationId& life,
+                    LifeFate fate);
   /// Gives up a task that waits. Returns false, and changes nothing, if it does
   /// not wait.
   bool GiveUp(const TaskName& name);
--- a/src/dispatch/life.h
+++ b/src/dispatch/life.h
@@ -28,18 +28,21 @@
 /// whatever its life, a `RunnerId` names it.
 ///
 /// Thread safety: a plain value; distinct objects may be used concurrently.
-struct LifeId {
+struct IncarnationId {
   RunnerId runner;
   Birth born;
 
-  LifeId() = default;
-  LifeId(RunnerId id, Birth birth) : runner(std::move(id)), born(birth) {}
+  IncarnationId() = default;
+  IncarnationId(RunnerId id, Birth birth)
+      : runner(std::move(id)), born(birth) {}
 
-  friend bool operator==(const LifeId& a, const LifeId& b) {
+  friend bool operator==(const IncarnationId& a, const IncarnationId& b) {
     return a.runner == b.runner && a.born == b.born;
   }
-  friend bool operator!=(const LifeId& a, const LifeId& b) { return !(a == b); }
-  friend bool operator<(const LifeId& a, const LifeId& b) {
+  friend bool operator!=(const IncarnationId& a, const IncarnationId& b) {
+    return !(a == b);
+  }
+  friend bool operator<(const IncarnationId& a, const IncarnationId& b) {
     return std::tie(a.runner, a.born) < std::tie(b.runner, b.born);
   }
 };
--- a/src/dispatch/loss_book.cc
+++ b/src/dispatch/loss_book.cc
@@ -43,7 +43,7 @@
   it->second.tasks.insert(task);
 }
 
-std::vector<TaskName> LossBook::Close(const LifeId& life) {
+std::vector<TaskName> LossBook::Close(const IncarnationId& life) {
   const auto found = open_.find(life);
   if (found == open_.end()) return {};
   const std::set<TaskName> tasks = std::move(found->second.tasks);
@@ -51,9 +51,9 @@
   return {tasks.begin(), tasks.end()};
 }
 
-std::vector<LifeId> LossBook::LostAt(const std::string& address,
-                                     const LifeId& living) const {
-  std::vector<LifeId> lost;
+std::vector<IncarnationId> LossBook::LostAt(const std::string& address,
+                                            const IncarnationId& living) const {
+  std::vector<IncarnationId> lost;
   for (const auto& [life, open] : open_) {
     if (address.empty() || open.address != address) continue;
     // An entry that was there when the life was lost tells of no later one.
@@ -64,16 +64,17 @@
   return lost;
 }
 
-std::vector<LifeId> LossBook::LostBefore(const LifeId& living) const {
-  std::vector<LifeId> lost;
+std::vector<IncarnationId> LossBook::LostBefore(
+    const IncarnationId& living) const {
+  std::vector<IncarnationId> lost;
   for (const auto& [life, open] : open_) {
     if (life.runner == living.runner && life != living) lost.push_back(life);
   }
   return lost;
 }
 
-std::vector<LifeId> LossBook::Overdue(TimePoint now) const {
-  std::vector<LifeId> overdue;
+std::vector<IncarnationId> LossBook::Overdue(TimePoint now) const {
+  std::vector<IncarnationId> overdue;
   for (const auto& [life, open] : open_) {
     if (now - open.since >= rules_.longest_doubt) overdue.push_back(life);
   }
--- a/src/dispatch/loss_book.h
+++ b/src/dispatch/loss_book.h
@@ -22,7 +22,7 @@
 
 /// A runner that fell silent and is taken for lost.
 struct LostRunner {
-  LifeId life;
+  IncarnationId life;
   TimePoint silent_since;
   /// A start right before it fell silent explains its end.
   bool explained = false;
@@ -49,15 +49,15 @@
                 TimePoint now);
   /// Tasks that lost a run with the life, now that its fate is known; they are
   /// forgotten here.
-  std::vector<TaskName> Close(const LifeId& life);
+  std::vector<TaskName> Close(const IncarnationId& life);
   /// Lives with open losses at the address which are over, now that the list
   /// tells of `living` there.
-  std::vector<LifeId> LostAt(const std::string& address,
-                             const LifeId& living) const;
+  std::vector<IncarnationId> LostAt(const std::string& address,
+                                    const IncarnationId& living) const;
   /// Lives with open losses of the runner, but for `living`, which answers.
-  std::vector<LifeId> LostBefore(const LifeId& living) const;
+  std::vector<IncarnationId> LostBefore(const IncarnationId& living) const;
   /// Lives with open losses of which nothing was heard for too long.
-  std::vector<LifeId> Overdue(TimePoint now) const;
+  std::vector<IncarnationId> Overdue(TimePoint now) const;
   bool HasOpen() const { return !open_.empty(); }
 
   /// Notes a runner that is taken for lost now.
@@ -74,7 +74,7 @@
   };
 
   LossRules rules_;
-  std::map<LifeId, Open> open_;
+  std::map<IncarnationId, Open> open_;
   /// The newest losses of runners, oldest first.
   std::deque<LostRunner> lost_;
 };
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -64,12 +64,12 @@
   /// Runners of the step's tasks now, for the limit on each.
   std::map<RunnerId, int> used;
   /// Runners to pass over while there are others; null for none.
-  const std::set<LifeId>* avoided = nullptr;
+  const std::set<IncarnationId>* avoided = nullptr;
   /// Runners outside the rack with the data, or in several racks, are taken
   /// too.
   bool anywhere = false;
   /// Only these runners may be used; null for any.
-  const std::set<LifeId>* allowed = nullptr;
+  const std::set<IncarnationId>* allowed = nullptr;
   /// Runners that are usually faster go first.
   bool prefers_fast = false;
   /// A further failure is final: runners that may fail the tasks are passed
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -102,7 +102,7 @@
 /// A run that makes way for urgent work.
 struct Displacement {
   TaskName task;
-  LifeId life;
+  IncarnationId life;
   /// The job that needs the room.
   JobId beneficiary;
 };
@@ -110,7 +110,7 @@
 /// A step that waits for tickets, and the runners that suit it, best first.
 struct AdviceWish {
   StepName step;
-  std::vector<LifeId> runners;
+  std::vector<IncarnationId> runners;
 };
 
 /// Why tasks of a step that is ready do not start.
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -64,7 +64,7 @@
   ++plan_.steps_tried;
   const std::size_t assigned = plan_.assignments.size();
   PlacementRequest request = RequestFor(*unit);
-  std::set<LifeId> allowed;
+  std::set<IncarnationId> allowed;
   if (unit->policy.needs_advice) {
     WishForAdvice(*unit, request);
     allowed = advice_.Allowed(unit->key, now_);
@@ -83,7 +83,7 @@
                                   const PlacementRequest& request) {
   AdviceWish wish;
   wish.step = unit.key;
-  std::vector<LifeId> full;
+  std::vector<IncarnationId> full;
   for (const Seat& seat : seating_.seats()) {
     if (!Seating::Suits(seat, request)) continue;
     const bool fits = unit.spec->room().Fits(seat.room);
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -33,7 +33,7 @@
   RunnerId id;
   Birth born;
 
-  LifeId life() const { return {id, born}; }
+  IncarnationId life() const { return {id, born}; }
 
   ServiceId service;
   std::string address;
@@ -202,7 +202,7 @@
 
   const RunnerInfo& info() const { return info_; }
   const RunnerId& id() const { return info_.id; }
-  const LifeId& life() const { return life_; }
+  const IncarnationId& life() const { return life_; }
   /// Lives that were seen under this id, this one included.
   int lives() const { return lives_; }
   const std::string& rack() const { return info_.rack; }
@@ -368,7 +368,7 @@
   }
 
   RunnerInfo info_;
-  LifeId life_;
+  IncarnationId life_;
   int lives_ = 1;
   bool listed_ = true;
   TimePoint unlisted_at_;
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -214,7 +214,7 @@
 void Scheduler::Assign(Context& ctx, const Assignment& assignment) {
   const TaskName& name = assignment.task;
   Job* job = book_.Find(name.job);
-  const LifeId life = assignment.runner->life();
+  const IncarnationId life = assignment.runner->life();
   job->Assign(name, assignment.run, life, ctx.now());
   Run run;
   run.number = assignment.run;
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -47,7 +47,7 @@
 
 Runner* Scheduler::BeginLife(Context& ctx, Runner* before,
                              const RunnerLooked& answer) {
-  const LifeId old_life = before->life();
+  const IncarnationId old_life = before->life();
   std::vector<TaskName> never;
   std::vector<TaskName> lost;
   std::vector<TaskName> moved;
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -50,7 +50,7 @@
 }
 
 /// The life that the run was started on.
-LifeId LifeOf(const Runner& runner, const Run& run) {
+IncarnationId LifeOf(const Runner& runner, const Run& run) {
   const bool before = IsOfLifeBefore(runner, run);
   return {runner.id(), before ? run.stored_for : runner.life().born};
 }
@@ -149,7 +149,7 @@
   const LossRules& rules = options_.losses;
   const TimePoint moment = *runner.silent_since();
   std::vector<LostRunner> lost = losses_.LostAround(moment);
-  std::set<LifeId> known;
+  std::set<IncarnationId> known;
   for (const LostRunner& other : lost) known.insert(other.life);
   for (const auto& [id, other] : fleet_.runners()) {
     const std::optional<TimePoint> since = other->silent_since();
@@ -162,7 +162,8 @@
   return CountUnexplained(lost) >= rules.unexplained_runners;
 }
 
-void Scheduler::SettleLosses(Context& ctx, const LifeId& life, LifeFate fate) {
+void Scheduler::SettleLosses(Context& ctx, const IncarnationId& life,
+                             LifeFate fate) {
   for (const TaskName& name : losses_.Close(life)) {
     Job* job = book_.Find(name.job);
     if (job == nullptr || !job->SettleLosses(name, life, fate)) continue;
@@ -179,7 +180,8 @@
 void Scheduler::TakeOtherLives(Context& ctx, const RunnersListed& answer) {
   if (!losses_.HasOpen()) return;
   for (const RunnerInfo& info : answer.runners) {
-    for (const LifeId& lost : losses_.LostAt(info.address, info.life())) {
+    for (const IncarnationId& lost :
+         losses_.LostAt(info.address, info.life())) {
       SettleLosses(ctx, lost, LifeFate::kCrashed);
     }
   }
@@ -187,7 +189,7 @@
 
 void Scheduler::SettleOverdue(Context& ctx) {
   if (!losses_.HasOpen()) return;
-  for (const LifeId& life : losses_.Overdue(ctx.now())) {
+  for (const IncarnationId& life : losses_.Overdue(ctx.now())) {
     SettleLosses(ctx, life, LifeFate::kNeverHeardOf);
   }
 }
@@ -231,7 +233,7 @@
   if (!losses_.HasOpen()) return;
   SettleLosses(ctx, runner->life(), LifeFate::kLives);
   // One that was followed by another does not live on.
-  for (const LifeId& before : losses_.LostBefore(runner->life())) {
+  for (const IncarnationId& before : losses_.LostBefore(runner->life())) {
     SettleLosses(ctx, before,
                  IsTold(before.born) ? LifeFate::kCrashed : LifeFate::kLives);
   }
@@ -243,7 +245,7 @@
   NoteHeard(ctx, runner, clock_ms);
 }
 
-Birth Scheduler::ListedBirth(const LifeId& life) const {
+Birth Scheduler::ListedBirth(const IncarnationId& life) const {
   const auto found = fleet_.runners().find(life.runner);
   return found == fleet_.runners().end() ? Birth() : found->second->info().born;
 }
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -62,7 +62,7 @@
 }  // namespace
 
 void Scheduler::QueueStart(const TaskName& name, int number,
-                           const LifeId& life) {
+                           const IncarnationId& life) {
   Runner* runner = fleet_.Find(life);
   if (runner == nullptr) return;
   Run* run = runner->FindRun(name, number);
--- a/src/emulator/emulated_catalog.cc
+++ b/src/emulator/emulated_catalog.cc
@@ -35,7 +35,7 @@
 }
 
 std::string TicketStart(const dispatch::StepName& step,
-                        const dispatch::LifeId& life) {
+                        const dispatch::IncarnationId& life) {
   return absl::StrCat(ToString(step), " at ", life.runner.value(), "@",
                       life.born.value(), kTicketMark);
 }
@@ -48,12 +48,12 @@
 }
 
 std::string MakeTicket(const dispatch::StepName& step,
-                       const dispatch::LifeId& life, TimePoint until) {
+                       const dispatch::IncarnationId& life, TimePoint until) {
   return absl::StrCat(TicketStart(step, life), until.ms());
 }
 
 bool TicketHolds(const std::string& ticket, const dispatch::StepName& step,
-                 const dispatch::LifeId& life, TimePoint at) {
+                 const dispatch::IncarnationId& life, TimePoint at) {
   const std::string start = TicketStart(step, life);
   std::int64_t until = 0;
   if (!absl::StartsWith(ticket, start)) return false;
@@ -62,7 +62,7 @@
 }
 
 bool TicketIsFor(const std::string& ticket, const dispatch::StepName& step,
-                 const dispatch::LifeId& life) {
+                 const dispatch::IncarnationId& life) {
   return absl::StartsWith(ticket, TicketStart(step, life));
 }
 
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -51,7 +51,7 @@
     return;
   }
   At(now_ + options_.network, [this, node, life, look] {
-    AnswerLook(node, life, look, now_ + look.wait, dispatch::LifeId());
+    AnswerLook(node, life, look, now_ + look.wait, dispatch::IncarnationId());
   });
 }
 
@@ -96,7 +96,7 @@
 void EmulatedSystem::AnswerLook(int node, int life,
                                 const dispatch::LookAtRunner& look,
                                 TimePoint until,
-                                const dispatch::LifeId& waits_at) {
+                                const dispatch::IncarnationId& waits_at) {
   DropIfCrashed(look.target.address);
   const RunnerId& id = look.target.life.runner;
   dispatch::RunnerLooked answer;
@@ -112,7 +112,7 @@
     return;
   }
   EmulatedRunner* runner = FindRunner(at->second);
-  const dispatch::LifeId there = runner->info().life();
+  const dispatch::IncarnationId there = runner->info().life();
   const bool reset = waits_at.runner == there.runner && waits_at != there;
   if (reset) {
     // The life at which the look waited is gone, and its connection with it.
@@ -146,14 +146,14 @@
   answer.asked = ask.runners;
   answer.valid = kTicketTime;
   const TimePoint until = now_ + kAdviceTime + kTicketTime;
-  for (const dispatch::LifeId& life : ask.runners) {
+  for (const dispatch::IncarnationId& life : ask.runners) {
     // Every other runner may run a step, in all of its lives.
     int index = 0;
     std::sscanf(life.runner.value().c_str(), "i-%d-", &index);
     if (index % 2 == 0) {
       // It is made out for the life that is there now.
       const EmulatedRunner* present = FindRunner(life.runner);
-      const dispatch::LifeId holder =
+      const dispatch::IncarnationId holder =
           present == nullptr ? life : present->info().life();
       answer.tickets[life] = MakeTicket(ask.step, holder, until);
     }
@@ -175,7 +175,7 @@
 }
 
 void EmulatedSystem::FinishOrder(int node, int life,
-                                 const dispatch::LifeId& runner) {
+                                 const dispatch::IncarnationId& runner) {
   if (processes_[node].life != life) return;
   auto& lane = processes_[node].order_lanes[runner];
   lane.pop();
@@ -186,7 +186,7 @@
 void EmulatedSystem::SendOrderNow(int node, const Order& order, Answer answer,
                                   const CarryOut<Answer>& carry_out) {
   const int life = processes_[node].life;
-  const dispatch::LifeId meant = order.target.life;
+  const dispatch::IncarnationId meant = order.target.life;
   const std::string address = order.target.address;
   const auto reply = [this, node, life, meant](Duration after, Answer body) {
     At(now_ + after, [this, node, life, meant, body] {
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -212,7 +212,8 @@
     bool removed = false;
     /// Orders to each runner, which go one after the other; the first is under
     /// way.
-    std::map<dispatch::LifeId, std::queue<std::function<void()>>> order_lanes;
+    std::map<dispatch::IncarnationId, std::queue<std::function<void()>>>
+        order_lanes;
     TimePoint woken_for;
     ListSeen list_seen;
   };
@@ -274,7 +275,7 @@
   /// The whole catalog, or the news that nothing changed.
   void AnswerCatalog(int node, Duration after, bool whole);
   void AnswerLook(int node, int life, const dispatch::LookAtRunner& look,
-                  TimePoint until, const dispatch::LifeId& waits_at);
+                  TimePoint until, const dispatch::IncarnationId& waits_at);
   /// The look gets no answer.
   void LoseLook(int node, int life, const dispatch::LookAtRunner& look);
   /// A look that got no answer comes to whatever runner is there by now.
@@ -296,7 +297,7 @@
   void SendOrderNow(int node, const Order& order, Answer answer,
                     const CarryOut<Answer>& carry_out);
   /// Sends the next order of a lane, if there is one.
-  void FinishOrder(int node, int life, const dispatch::LifeId& runner);
+  void FinishOrder(int node, int life, const dispatch::IncarnationId& runner);
   void TakeAnswer(const dispatch::AnswerCall& answer);
   void SendSubmit(const JobId& job);
   void SendCancel(const JobId& job);
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -151,7 +151,7 @@
   std::set<RunName> overdue_;
   std::map<JobId, JobWatch> jobs_;
   /// Ends that each life of a runner has listed, until they are taken note of.
-  std::map<dispatch::LifeId, std::map<std::int64_t, dispatch::ListedEnd>>
+  std::map<dispatch::IncarnationId, std::map<std::int64_t, dispatch::ListedEnd>>
       listed_;
   std::vector<std::string> violations_;
 };
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -281,7 +281,7 @@
   }
   Context ctx = NewContext();
   fleet.Take(ctx, listed);
-  const LifeId last = listed.runners.back().life();
+  const IncarnationId last = listed.runners.back().life();
   bool looked_at_last = false;
   constexpr int kRounds = 30;
   for (int round = 0; round < kRounds; ++round) {
@@ -290,7 +290,7 @@
     // So long takes a look without an answer.
     now = now + Duration(500);
     for (const Effect& effect : effects) {
-      const LifeId id = std::get<LookAtRunner>(effect).target.life;
+      const IncarnationId id = std::get<LookAtRunner>(effect).target.life;
       looked_at_last = looked_at_last || id == last;
       LoseLook(fleet.Find(id));
     }
@@ -345,7 +345,7 @@
   const auto look = Look();
   CHECK_TRUE(look.has_value());
   // The list alone ends no life.
-  CHECK_TRUE(look->target.life == LifeId(RunnerId("i-1"), Birth()));
+  CHECK_TRUE(look->target.life == IncarnationId(RunnerId("i-1"), Birth()));
   CHECK_TRUE(runner->reachable());
   // Once is enough: the entry may be old.
   Context again = NewContext();
@@ -368,9 +368,9 @@
       TaskName{JobId("00000000000000aa"), 0, 0, 0}, 1);
   before->NotePace(8, JobId("00000000000000aa"));
   const Runner* next = fleet.BeginLife(before, Birth(1700), now);
-  CHECK_TRUE(next->life() == LifeId(RunnerId("i-1"), Birth(1700)));
+  CHECK_TRUE(next->life() == IncarnationId(RunnerId("i-1"), Birth(1700)));
   LONGS_EQUAL(2, next->lives());
-  CHECK_TRUE(fleet.Find(LifeId(RunnerId("i-1"), Birth())) == nullptr);
+  CHECK_TRUE(fleet.Find(IncarnationId(RunnerId("i-1"), Birth())) == nullptr);
   CHECK_FALSE(next->heard());
   CHECK_TRUE(next->runs().empty());
   CHECK_TRUE(next->waiting_starts.empty());
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -18,7 +18,7 @@
   const TaskName task{JobId("j"), 0, 0, 0};
 
   /// A life of a runner that tells no births, unless one is given.
-  static LifeId Life(const char* id, Birth born = Birth()) {
+  static IncarnationId Life(const char* id, Birth born = Birth()) {
     return {RunnerId(id), born};
   }
 
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -136,7 +136,7 @@
 // Advice is asked for by ids, and its tickets hold for one life each.
 TEST(Wire, TicketsAreThoseOfTheLivesThatWereAskedAbout) {
   dispatch::AdviceAnswered answer;
-  const dispatch::LifeId life(RunnerId("i-1"), dispatch::Birth(70));
+  const dispatch::IncarnationId life(RunnerId("i-1"), dispatch::Birth(70));
   answer.asked = {life};
   CHECK_TRUE(DecodeAdvice(R"({"good":[["i-1","t"],["i-2","u"]],"valid_ms":9})",
                           &answer)
