--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -57,13 +57,13 @@
 
 /// The birth that a life tells which begins now. Every third one's time of day
 /// is a minute behind, so that it seems to be older than the life before.
-dispatch::Birth BirthOf(int life) {
+dispatch::StartTime BirthOf(int life) {
   constexpr int kThird = 3;
   constexpr std::int64_t kBehindMs = 60000;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const std::int64_t ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
-  return dispatch::Birth(life % kThird == 0 ? ms - kBehindMs : ms);
+  return dispatch::StartTime(life % kThird == 0 ? ms - kBehindMs : ms);
 }
 
 }  // namespace
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -24,7 +24,7 @@
   return found == runners_.end() ? nullptr : Find(found->second->life());
 }
 
-Runner* Fleet::BeginLife(Runner* before, Birth born, TimePoint now) {
+Runner* Fleet::BeginLife(Runner* before, StartTime born, TimePoint now) {
   ForgetLooks(before);
   std::unique_ptr<Runner>& place = runners_.at(before->id());
   place = before->Next(born, now);
@@ -201,7 +201,7 @@
            {"leaves_in_ms", std::to_string(info.leaves_in.ms())}});
 }
 
-void Fleet::TakeHint(Context& ctx, Runner* runner, Birth born) {
+void Fleet::TakeHint(Context& ctx, Runner* runner, StartTime born) {
   if (!IsTold(born) || runner->hinted == born) return;
   runner->hinted = born;
   ctx.Log(LogId::kRunnerHinted, {{"runner", runner->id().value()},
--- a/src/dispatch/life.h
+++ b/src/dispatch/life.h
@@ -19,9 +19,9 @@
 /// of day; 0 if it was not told. Times of day jump, so that a later life may
 /// tell an earlier time: births tell lives apart, and say nothing of their
 /// order.
-using Birth = Number<struct BirthTag>;
+using StartTime = Number<struct BirthTag>;
 
-inline constexpr bool IsTold(Birth born) { return born != Birth(); }
+inline constexpr bool IsTold(StartTime born) { return born != StartTime(); }
 
 /// Names one life of a runner. A runner may start again under its id; its next
 /// life holds and knows nothing of the one before. Where the machine is meant
@@ -30,10 +30,10 @@
 /// Thread safety: a plain value; distinct objects may be used concurrently.
 struct IncarnationId {
   RunnerId runner;
-  Birth born;
+  StartTime born;
 
   IncarnationId() = default;
-  IncarnationId(RunnerId id, Birth birth)
+  IncarnationId(RunnerId id, StartTime birth)
       : runner(std::move(id)), born(birth) {}
 
   friend bool operator==(const IncarnationId& a, const IncarnationId& b) {
@@ -48,7 +48,7 @@
 };
 
 /// For logs: the birth as text; empty if it was not told. Thread-safe.
-std::string ToString(Birth born);
+std::string ToString(StartTime born);
 
 }  // namespace limeledge::dispatch
 
--- a/src/dispatch/loss_book.cc
+++ b/src/dispatch/loss_book.cc
@@ -32,8 +32,8 @@
       }));
 }
 
-void LossBook::NoteOpen(const TaskName& task, const RunLoss& loss, Birth listed,
-                        TimePoint now) {
+void LossBook::NoteOpen(const TaskName& task, const RunLoss& loss,
+                        StartTime listed, TimePoint now) {
   const auto [it, added] = open_.emplace(loss.life, Open());
   if (added) {
     it->second.address = loss.address;
--- a/src/dispatch/loss_book.h
+++ b/src/dispatch/loss_book.h
@@ -45,7 +45,7 @@
   /// Notes a lost run whose runner may still live. Noted twice, it counts once.
   /// `listed`: the birth that the runner's entry told then, which may be that
   /// of a life before.
-  void NoteOpen(const TaskName& task, const RunLoss& loss, Birth listed,
+  void NoteOpen(const TaskName& task, const RunLoss& loss, StartTime listed,
                 TimePoint now);
   /// Tasks that lost a run with the life, now that its fate is known; they are
   /// forgotten here.
@@ -68,7 +68,7 @@
  private:
   struct Open {
     std::string address;
-    Birth listed;
+    StartTime listed;
     TimePoint since;
     std::set<TaskName> tasks;
   };
--- a/src/dispatch/row_codec.cc
+++ b/src/dispatch/row_codec.cc
@@ -114,8 +114,8 @@
 
 /// The birth at the end of a list; not told where the list ends before it, as
 /// in rows of versions that did not tell lives apart.
-Birth BirthAt(const Json::Value& json, Json::ArrayIndex index) {
-  return json.size() > index ? Birth(json[index].asInt64()) : Birth();
+StartTime BirthAt(const Json::Value& json, Json::ArrayIndex index) {
+  return json.size() > index ? StartTime(json[index].asInt64()) : StartTime();
 }
 
 /// A lost run, as a list.
--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-std::string ToString(Birth born) {
+std::string ToString(StartTime born) {
   return IsTold(born) ? std::to_string(born.value()) : "";
 }
 
@@ -113,7 +113,7 @@
   }
 }
 
-std::unique_ptr<Runner> Runner::Next(Birth born, TimePoint now) {
+std::unique_ptr<Runner> Runner::Next(StartTime born, TimePoint now) {
   auto next = std::make_unique<Runner>(info_);
   next->life_.born = born;
   next->lives_ = lives_ + 1;
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -31,7 +31,7 @@
 /// entry may tell of a life that is over, or of one that nobody has heard yet.
 struct RunnerInfo {
   RunnerId id;
-  Birth born;
+  StartTime born;
 
   IncarnationId life() const { return {id, born}; }
 
@@ -106,7 +106,7 @@
   int number = 0;
   /// Stored by an earlier scheduler: the life that it was started on, if it was
   /// told. An earlier life's run is over unless this one lists it.
-  Birth stored_for;
+  StartTime stored_for;
   Resources need;
   RunPhase phase = RunPhase::kPlanned;
   /// The run shall end; its stop was or is still to be sent.
@@ -198,7 +198,7 @@
 
   /// The life that follows this one under its id: at the same place, of which
   /// it keeps the entry, the number of lives and the orders that may come late.
-  std::unique_ptr<Runner> Next(Birth born, TimePoint now);
+  std::unique_ptr<Runner> Next(StartTime born, TimePoint now);
 
   const RunnerInfo& info() const { return info_; }
   const RunnerId& id() const { return info_.id; }
@@ -285,7 +285,7 @@
   /// It grants a lease.
   bool look_grants = false;
   /// A birth that the entry told, for which the runner was looked at.
-  Birth hinted;
+  StartTime hinted;
   /// How the fleet has filed the next look.
   FiledLook filed_look;
   TimePoint look_sent_at;
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -263,7 +263,7 @@
   /// The same for an order's answer, which does not tell the life that gave it.
   void NoteOrderHeard(Context& ctx, Runner* runner, std::int64_t clock_ms);
   /// The birth that the entry of a life's runner tells now.
-  Birth ListedBirth(const IncarnationId& life) const;
+  StartTime ListedBirth(const IncarnationId& life) const;
 
   // Lives (scheduler_lives.cc).
   /// What a run of the life before is to the next one.
@@ -290,7 +290,7 @@
                     const RunnerLooked& answer);
   /// Ends the object of the life before; returns that of the next, which no run
   /// is on yet.
-  Runner* PutNextLife(TimePoint now, Runner* before, Birth born);
+  Runner* PutNextLife(TimePoint now, Runner* before, StartTime born);
   /// `lost`: the run went with the life before, and is only to be ruled out.
   void AddCarried(Context& ctx, Runner* next, const TaskName& name, Run run,
                   bool lost);
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -117,7 +117,7 @@
   return next;
 }
 
-Runner* Scheduler::PutNextLife(TimePoint now, Runner* before, Birth born) {
+Runner* Scheduler::PutNextLife(TimePoint now, Runner* before, StartTime born) {
   const bool start_under_way = std::any_of(
       before->runs().begin(), before->runs().end(), [](const auto& entry) {
         return entry.second.phase == RunPhase::kStarting;
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -245,9 +245,10 @@
   NoteHeard(ctx, runner, clock_ms);
 }
 
-Birth Scheduler::ListedBirth(const IncarnationId& life) const {
+StartTime Scheduler::ListedBirth(const IncarnationId& life) const {
   const auto found = fleet_.runners().find(life.runner);
-  return found == fleet_.runners().end() ? Birth() : found->second->info().born;
+  return found == fleet_.runners().end() ? StartTime()
+                                         : found->second->info().born;
 }
 
 }  // namespace limeledge::dispatch
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -196,8 +196,8 @@
   dispatch::RunnerInfo info;
   const int named = options_.keeps_ids ? 1 : life;
   info.id = RunnerId(absl::StrCat("i-", index, "-", named));
-  info.born = dispatch::Birth(kWallStart + now_.ms() +
-                              options_.birth_step.ms() * (life - 1));
+  info.born = dispatch::StartTime(kWallStart + now_.ms() +
+                                  options_.birth_step.ms() * (life - 1));
   info.service = dispatch::ServiceId("compute");
   info.address = absl::StrCat("10.0.0.", index, ":80");
   info.room = options_.room;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -187,7 +187,7 @@
   struct ListSeen {
     Revision revision;
     struct Entry {
-      dispatch::Birth born;
+      dispatch::StartTime born;
       bool draining = false;
       dispatch::Resources room;
     };
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -27,7 +27,7 @@
     return Context(now, 0, &tickets, &effects);
   }
 
-  Runner* AddRunner(const char* id, Birth born = Birth()) {
+  Runner* AddRunner(const char* id, StartTime born = StartTime()) {
     RunnersListed listed;
     listed.ok = true;
     RunnerInfo info;
@@ -42,7 +42,7 @@
   }
 
   /// A listed runner on which an earlier scheduler started a run.
-  Runner* Inherit(const char* id, Birth born) {
+  Runner* Inherit(const char* id, StartTime born) {
     AddRunner(id, born);
     return fleet.FindOrInherit({RunnerId(id), born}, now);
   }
@@ -339,13 +339,13 @@
   RunnersListed listed;
   listed.ok = true;
   listed.runners = {runner->info()};
-  listed.runners.front().born = Birth(1700);
+  listed.runners.front().born = StartTime(1700);
   Context ctx = NewContext();
   fleet.Take(ctx, listed);
   const auto look = Look();
   CHECK_TRUE(look.has_value());
   // The list alone ends no life.
-  CHECK_TRUE(look->target.life == IncarnationId(RunnerId("i-1"), Birth()));
+  CHECK_TRUE(look->target.life == IncarnationId(RunnerId("i-1"), StartTime()));
   CHECK_TRUE(runner->reachable());
   // Once is enough: the entry may be old.
   Context again = NewContext();
@@ -367,10 +367,11 @@
   before->waiting_starts.emplace_back(
       TaskName{JobId("00000000000000aa"), 0, 0, 0}, 1);
   before->NotePace(8, JobId("00000000000000aa"));
-  const Runner* next = fleet.BeginLife(before, Birth(1700), now);
-  CHECK_TRUE(next->life() == IncarnationId(RunnerId("i-1"), Birth(1700)));
+  const Runner* next = fleet.BeginLife(before, StartTime(1700), now);
+  CHECK_TRUE(next->life() == IncarnationId(RunnerId("i-1"), StartTime(1700)));
   LONGS_EQUAL(2, next->lives());
-  CHECK_TRUE(fleet.Find(IncarnationId(RunnerId("i-1"), Birth())) == nullptr);
+  CHECK_TRUE(fleet.Find(IncarnationId(RunnerId("i-1"), StartTime())) ==
+             nullptr);
   CHECK_FALSE(next->heard());
   CHECK_TRUE(next->runs().empty());
   CHECK_TRUE(next->waiting_starts.empty());
@@ -437,7 +438,7 @@
 }
 
 TEST(Fleet, LeaseOfAnEarlierSchedulerIsBoundedOnceItsRunnerIsHeard) {
-  Runner* runner = Inherit("i-1", Birth());
+  Runner* runner = Inherit("i-1", StartTime());
   const TimePoint unheard = runner->lease_over_at();
   now = now + Duration(50);
   fleet.NoteHeard(runner, now, 500);
@@ -450,7 +451,7 @@
 // A late call to the life before may have granted all that a runner takes.
 TEST(Fleet,
      LeaseOfAnEarlierSchedulerIsBoundedByTheLongestOnRunnersThatKeepIds) {
-  Runner* runner = Inherit("i-1", Birth(1700000000000));
+  Runner* runner = Inherit("i-1", StartTime(1700000000000));
   fleet.NoteHeard(runner, now, 500);
   CHECK_TRUE(runner->lease_over_at() >= now + Duration(10200));
   CHECK_TRUE(runner->lease_over_at() <= now + Duration(10800));
@@ -458,7 +459,7 @@
 
 // Hearing a life again says nothing of what a call to the life before granted.
 TEST(Fleet, ForeignGrantOutlastsTheFirstAnswerOfALife) {
-  Runner* runner = Inherit("i-1", Birth(1700000000000));
+  Runner* runner = Inherit("i-1", StartTime(1700000000000));
   runner->NoteForeignGrant(now + Duration(12500), Duration(10000));
   const TimePoint foreign = runner->lease_over_at();
   fleet.NoteHeard(runner, now, 500);
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -206,7 +206,7 @@
     seating.seats()[2].runner->NotePace(10, JobId("a"));
   }
   CHECK_TRUE(seating.seats()[2].runner->IsSlow());
-  const std::set<IncarnationId> avoided = {{RunnerId("avoided"), Birth()}};
+  const std::set<IncarnationId> avoided = {{RunnerId("avoided"), StartTime()}};
   PlacementRequest request = Request(1);
   request.avoided = &avoided;
   for (std::size_t i = ids.size(); i-- > 0;) {
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -18,7 +18,7 @@
   const TaskName task{JobId("j"), 0, 0, 0};
 
   /// A life of a runner that tells no births, unless one is given.
-  static IncarnationId Life(const char* id, Birth born = Birth()) {
+  static IncarnationId Life(const char* id, StartTime born = StartTime()) {
     return {RunnerId(id), born};
   }
 
@@ -98,8 +98,8 @@
 
 TEST(RunLoss, BookKnowsTheTasksOfASilentRunnerUntilItsFateIsKnown) {
   const RunLoss loss = Loss(1, false, true);
-  book.NoteOpen(task, loss, Birth(), TimePoint(1000));
-  book.NoteOpen(task, loss, Birth(), TimePoint(5000));
+  book.NoteOpen(task, loss, StartTime(), TimePoint(1000));
+  book.NoteOpen(task, loss, StartTime(), TimePoint(5000));
   LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-9")).size());
   LONGS_EQUAL(0, book.LostAt(loss.address, loss.life).size());
   LONGS_EQUAL(0, book.LostAt("", Life("i-9")).size());
@@ -149,19 +149,19 @@
 
 TEST(RunLoss, NextLifeAtTheAddressTellsThatTheOneBeforeIsOver) {
   RunLoss loss = Loss(1, false, true);
-  loss.life.born = Birth(100);
-  book.NoteOpen(task, loss, Birth(100), TimePoint(1000));
+  loss.life.born = StartTime(100);
+  book.NoteOpen(task, loss, StartTime(100), TimePoint(1000));
   LONGS_EQUAL(0, book.LostAt(loss.address, loss.life).size());
-  LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-1", Birth(50))).size());
+  LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
 }
 
 // An entry may lag behind what the runner itself has answered.
 TEST(RunLoss, EntryOfAnEarlierLifeTellsNothingOfALaterOne) {
   RunLoss loss = Loss(1, false, true);
-  loss.life.born = Birth(100);
-  book.NoteOpen(task, loss, Birth(50), TimePoint(1000));
-  LONGS_EQUAL(0, book.LostAt(loss.address, Life("i-1", Birth(50))).size());
-  LONGS_EQUAL(1, book.LostBefore(Life("i-1", Birth(200))).size());
+  loss.life.born = StartTime(100);
+  book.NoteOpen(task, loss, StartTime(50), TimePoint(1000));
+  LONGS_EQUAL(0, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
+  LONGS_EQUAL(1, book.LostBefore(Life("i-1", StartTime(200))).size());
   LONGS_EQUAL(0, book.LostBefore(loss.life).size());
 }
 
@@ -170,13 +170,13 @@
   spec.id = JobId("j");
   spec.steps.emplace_back();
   Job job(spec);
-  job.Assign(task, 3, Life("i-3", Birth(1700)), TimePoint(0));
+  job.Assign(task, 3, Life("i-3", StartTime(1700)), TimePoint(0));
   RunLoss loss = Loss(3, true, true);
-  loss.life.born = Birth(1600);
+  loss.life.born = StartTime(1600);
   CHECK_TRUE(job.NoteLoss(task, loss));
   Job read(spec);
   CHECK_TRUE(DecodeProgress(EncodeProgress(job), &read).ok());
-  CHECK_TRUE(read.Find(task)->life == Life("i-3", Birth(1700)));
+  CHECK_TRUE(read.Find(task)->life == Life("i-3", StartTime(1700)));
   CHECK_TRUE(read.Find(task)->losses[0].life == loss.life);
 }
 
@@ -187,7 +187,7 @@
   spec.id = JobId("j");
   spec.steps.emplace_back();
   Job job(spec);
-  job.Assign(task, 4, Life("i-4", Birth(1700)), TimePoint(0));
+  job.Assign(task, 4, Life("i-4", StartTime(1700)), TimePoint(0));
   STRCMP_CONTAINS(R"([0,1,4,0,"i-4","",[],1700])", EncodeProgress(job).c_str());
   Job old(spec);
   old.Assign(task, 4, Life("i-4"), TimePoint(0));
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -126,7 +126,7 @@
   dispatch::RunnerLooked looked;
   CHECK_TRUE(
       DecodeLook(R"({"clock-ms":1,"born":1791244478514})", &looked).ok());
-  CHECK_TRUE(looked.born == dispatch::Birth(1791244478514));
+  CHECK_TRUE(looked.born == dispatch::StartTime(1791244478514));
   for (const char* born : {"\"x\"", "1.5", "{}", "true"}) {
     const std::string text = std::string(R"({"born":)") + born + "}";
     CHECK_FALSE_TEXT(DecodeLook(text, &looked).ok(), born);
@@ -136,7 +136,7 @@
 // Advice is asked for by ids, and its tickets hold for one life each.
 TEST(Wire, TicketsAreThoseOfTheLivesThatWereAskedAbout) {
   dispatch::AdviceAnswered answer;
-  const dispatch::IncarnationId life(RunnerId("i-1"), dispatch::Birth(70));
+  const dispatch::IncarnationId life(RunnerId("i-1"), dispatch::StartTime(70));
   answer.asked = {life};
   CHECK_TRUE(DecodeAdvice(R"({"good":[["i-1","t"],["i-2","u"]],"valid_ms":9})",
                           &answer)
