--- a/src/dispatch/life.h
+++ b/src/dispatch/life.h
@@ -19,7 +19,7 @@
 /// of day; 0 if it was not told. Times of day jump, so that a later life may
 /// tell an earlier time: births tell lives apart, and say nothing of their
 /// order.
-using StartTime = Number<struct BirthTag>;
+using StartTime = Number<struct StartTimeTag>;
 
 inline constexpr bool IsTold(StartTime born) { return born != StartTime(); }
 
