--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -53,7 +53,7 @@
 }
 
 Duration Fleet::EarlierLeaseOf(const Runner& runner) const {
-  const bool keeps_id = IsTold(runner.life().born);
+  const bool keeps_id = IsReported(runner.life().born);
   return keeps_id ? options_.longest_lease : options_.run_lease;
 }
 
@@ -202,7 +202,7 @@
 }
 
 void Fleet::TakeHint(Context& ctx, Runner* runner, StartTime born) {
-  if (!IsTold(born) || runner->hinted == born) return;
+  if (!IsReported(born) || runner->hinted == born) return;
   runner->hinted = born;
   ctx.Log(LogId::kRunnerHinted, {{"runner", runner->id().value()},
                                  {"born", ToString(born)},
--- a/src/dispatch/life.h
+++ b/src/dispatch/life.h
@@ -21,7 +21,7 @@
 /// order.
 using StartTime = Number<struct StartTimeTag>;
 
-inline constexpr bool IsTold(StartTime born) { return born != StartTime(); }
+inline constexpr bool IsReported(StartTime born) { return born != StartTime(); }
 
 /// Names one life of a runner. A runner may start again under its id; its next
 /// life holds and knows nothing of the one before. Where the machine is meant
--- a/src/dispatch/row_codec.cc
+++ b/src/dispatch/row_codec.cc
@@ -127,7 +127,7 @@
   json.append(Json::Int64(loss.lasted.ms()));
   json.append(loss.crashed);
   json.append(loss.suspicious);
-  if (IsTold(loss.life.born)) {
+  if (IsReported(loss.life.born)) {
     json.append(Json::Int64(loss.life.born.value()));
   }
   return json;
@@ -155,7 +155,7 @@
   json.append(task.failures);
   json.append(task.life.runner.value());
   json.append(task.checkpoint);
-  const bool born = IsTold(task.life.born);
+  const bool born = IsReported(task.life.born);
   if (task.losses.empty() && !born) return json;
   Json::Value losses(Json::arrayValue);
   for (const RunLoss& loss : task.losses) losses.append(EncodeLoss(loss));
--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -46,7 +46,7 @@
 }  // namespace
 
 std::string ToString(StartTime born) {
-  return IsTold(born) ? std::to_string(born.value()) : "";
+  return IsReported(born) ? std::to_string(born.value()) : "";
 }
 
 bool StopRequest::IsDue(TimePoint now, Duration patience) const {
@@ -89,7 +89,7 @@
 }
 
 bool IsOfLifeBefore(const Runner& runner, const Run& run) {
-  return run.phase == RunPhase::kInherited && IsTold(run.stored_for) &&
+  return run.phase == RunPhase::kInherited && IsReported(run.stored_for) &&
          run.stored_for != runner.life().born;
 }
 
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -364,7 +364,7 @@
  private:
   /// True if an entry's word on leaving is this life's.
   bool IsOwn(const RunnerInfo& info) const {
-    return !IsTold(info.born) || info.born == life_.born;
+    return !IsReported(info.born) || info.born == life_.born;
   }
 
   RunnerInfo info_;
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -123,7 +123,7 @@
         run.suspect = IsSuspect(task.losses);
         runner->Add(name, run);
         // Rows of versions that did not tell lives apart name none.
-        if (!IsTold(run.stored_for)) {
+        if (!IsReported(run.stored_for)) {
           job->MoveRun(name, run.number, runner->life());
         }
         if (runner->ended) gone.insert(runner);
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -234,14 +234,15 @@
   SettleLosses(ctx, runner->life(), LifeFate::kLives);
   // One that was followed by another does not live on.
   for (const IncarnationId& before : losses_.LostBefore(runner->life())) {
-    SettleLosses(ctx, before,
-                 IsTold(before.born) ? LifeFate::kCrashed : LifeFate::kLives);
+    SettleLosses(
+        ctx, before,
+        IsReported(before.born) ? LifeFate::kCrashed : LifeFate::kLives);
   }
 }
 
 void Scheduler::NoteOrderHeard(Context& ctx, Runner* runner,
                                std::int64_t clock_ms) {
-  if (IsTold(runner->life().born) || clock_ms <= 0) return;
+  if (IsReported(runner->life().born) || clock_ms <= 0) return;
   NoteHeard(ctx, runner, clock_ms);
 }
 
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -115,7 +115,7 @@
       &looked);
   CHECK_TRUE(status.ok());
   LONGS_EQUAL(482113, looked.clock_ms);
-  CHECK_FALSE(dispatch::IsTold(looked.born));
+  CHECK_FALSE(dispatch::IsReported(looked.born));
   LONGS_EQUAL(17, looked.running[0].task.index);
   LONGS_EQUAL(41, looked.running[0].percent);
   LONGS_EQUAL(58, looked.ended[0].number);
