--- a/soak/config_prober.cc
+++ b/soak/config_prober.cc
@@ -40,14 +40,14 @@
 
 void ConfigProber::Probe(NodeProcess* node, Seen* seen) {
   const ConfigWrite newest = platform_->newest_config();
-  const std::size_t life = node->lives().size();
-  if (seen->life != life) *seen = {life, 0, TimePoint()};
+  const std::size_t incarnation = node->lives().size();
+  if (seen->incarnation != incarnation) *seen = {incarnation, 0, TimePoint()};
   const NodeReply reply =
       client_->Call(node, "GET", ProbePrefix(newest.version), "", kKey);
   if (reply.Is(kStatusOk) && seen->version < newest.version) {
-    *seen = {life, newest.version, clock_.Now()};
+    *seen = {incarnation, newest.version, clock_.Now()};
   }
-  if (!reply.Is(kStatusNoRoute) || node->lives().size() != life) return;
+  if (!reply.Is(kStatusNoRoute) || node->lives().size() != incarnation) return;
   if (!checks_times_) return;
   // Versions that came during the call may have dropped the route again.
   if (platform_->newest_config().version > newest.version + 1) return;
--- a/soak/config_prober.h
+++ b/soak/config_prober.h
@@ -35,7 +35,7 @@
   /// What was seen of a node.
   struct Seen {
     /// Number of the node's life that this is about.
-    std::size_t life = 0;
+    std::size_t incarnation = 0;
     /// The newest version that it knew, and since when.
     std::int64_t version = 0;
     TimePoint at;
--- a/soak/fault_driver.cc
+++ b/soak/fault_driver.cc
@@ -393,13 +393,13 @@
 void FaultDriver::TendNodes() {
   for (const auto& node : *nodes_) {
     const bool lives = node->Lives();
-    const NodeLife life = node->lives().back();
+    const NodeLife incarnation = node->lives().back();
     if (lives) {
-      EndOverdue(node.get(), life);
+      EndOverdue(node.get(), incarnation);
       continue;
     }
     CheckEnd(node.get());
-    const bool due = clock_.Now() > *life.ended_at + kRestartPause;
+    const bool due = clock_.Now() > *incarnation.ended_at + kRestartPause;
     if (!due) continue;
     log_->Note(node->name(), clock_.Now(), clock_.Now(),
                TroubleSort::kNodeChange);
@@ -407,11 +407,11 @@
   }
 }
 
-void FaultDriver::EndOverdue(NodeProcess* node, const NodeLife& life) {
-  const bool overdue = life.stop_asked_at.has_value() &&
-                       clock_.Now() > *life.stop_asked_at + kLongestStop;
+void FaultDriver::EndOverdue(NodeProcess* node, const NodeLife& incarnation) {
+  const bool overdue = incarnation.stop_asked_at.has_value() &&
+                       clock_.Now() > *incarnation.stop_asked_at + kLongestStop;
   if (!overdue) return;
-  if (log_->IsCalm(node->name(), *life.stop_asked_at, clock_.Now())) {
+  if (log_->IsCalm(node->name(), *incarnation.stop_asked_at, clock_.Now())) {
     platform_->Violate(
         absl::StrCat(node->name(), " did not end when it was asked to"));
   }
@@ -423,10 +423,10 @@
   std::size_t& checked = checked_[node->name()];
   if (checked == lives.size()) return;
   checked = lives.size();
-  const NodeLife& life = lives.back();
-  if (life.killed) return;
+  const NodeLife& incarnation = lives.back();
+  if (incarnation.killed) return;
   const bool planned =
-      life.stop_asked_at.has_value() && node->last_status() == 0;
+      incarnation.stop_asked_at.has_value() && node->last_status() == 0;
   if (!planned) {
     platform_->Violate(absl::StrCat(node->name(), " ended by itself with ",
                                     node->last_status()));
--- a/soak/fault_driver.h
+++ b/soak/fault_driver.h
@@ -74,7 +74,7 @@
   /// Reports a life that ended by itself; once for each life.
   void CheckEnd(NodeProcess* node);
   /// Kills and reports a node that was asked to stop and does not.
-  void EndOverdue(NodeProcess* node, const NodeLife& life);
+  void EndOverdue(NodeProcess* node, const NodeLife& incarnation);
 
   SoakPlatform* platform_;
   Nodes* nodes_;
--- a/soak/node_client.cc
+++ b/soak/node_client.cc
@@ -45,19 +45,19 @@
                           const std::string& what) {
   const TimePoint now = clock_.Now();
   if (!faults_->IsCalm(node->name(), sent_at - kTroubleEcho, now)) return;
-  for (const NodeLife& life : node->lives()) {
-    const bool served = life.started_at + kStartTime <= sent_at &&
-                        (!life.ended_at.has_value() ||
-                         sent_at + kLastMoments <= *life.ended_at);
-    if (!served || life.killed) continue;
+  for (const NodeLife& incarnation : node->lives()) {
+    const bool served = incarnation.started_at + kStartTime <= sent_at &&
+                        (!incarnation.ended_at.has_value() ||
+                         sent_at + kLastMoments <= *incarnation.ended_at);
+    if (!served || incarnation.killed) continue;
     // Its end may not have been noted yet.
     const bool ends =
-        life.stop_asked_at.has_value() && now - sent_at <= kLastMoments;
+        incarnation.stop_asked_at.has_value() && now - sent_at <= kLastMoments;
     if (ends) continue;
-    platform_->Violate(
-        absl::StrCat(node->name(), " cut ", what, " off, sent ",
-                     (now - sent_at).ms(), " ms before",
-                     life.stop_asked_at.has_value() ? ", while stopping" : ""));
+    platform_->Violate(absl::StrCat(
+        node->name(), " cut ", what, " off, sent ", (now - sent_at).ms(),
+        " ms before",
+        incarnation.stop_asked_at.has_value() ? ", while stopping" : ""));
   }
 }
 
--- a/soak/node_process.cc
+++ b/soak/node_process.cc
@@ -142,9 +142,9 @@
     _exit(kExecFailed);
   }
   pid_ = pid;
-  NodeLife life;
-  life.started_at = clock_.Now();
-  lives_.push_back(life);
+  NodeLife incarnation;
+  incarnation.started_at = clock_.Now();
+  lives_.push_back(incarnation);
 }
 
 void NodeProcess::Reap() {
--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -57,13 +57,13 @@
 
 /// The birth that a life tells which begins now. Every third one's time of day
 /// is a minute behind, so that it seems to be older than the life before.
-dispatch::StartTime BirthOf(int life) {
+dispatch::StartTime BirthOf(int incarnation) {
   constexpr int kThird = 3;
   constexpr std::int64_t kBehindMs = 60000;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const std::int64_t ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
-  return dispatch::StartTime(life % kThird == 0 ? ms - kBehindMs : ms);
+  return dispatch::StartTime(incarnation % kThird == 0 ? ms - kBehindMs : ms);
 }
 
 }  // namespace
@@ -126,11 +126,11 @@
 
 void SoakPlatform::StartLife(int index) {
   Place& place = *places_[index];
-  ++place.life;
+  ++place.incarnation;
   dispatch::RunnerInfo info;
-  info.id =
-      RunnerId(absl::StrCat("i-", index, "-", keeps_ids_ ? 1 : place.life));
-  info.born = BirthOf(place.life);
+  info.id = RunnerId(
+      absl::StrCat("i-", index, "-", keeps_ids_ ? 1 : place.incarnation));
+  info.born = BirthOf(place.incarnation);
   info.service = dispatch::ServiceId(kService);
   info.hall = HallId("soak");
   info.room = kRoom;
@@ -395,7 +395,7 @@
                           const dispatch::LookAtRunner& look,
                           const dispatch::RunnerLooked& answer) {
   oracle_.NoteLook(look, answer, [&](std::int64_t end) {
-    const bool same_life = runner.info().id == look.target.life.runner;
+    const bool same_life = runner.info().id == look.target.incarnation.runner;
     return same_life && !runner.LapsedSince(end);
   });
 }
--- a/soak/soak_platform.h
+++ b/soak/soak_platform.h
@@ -122,7 +122,7 @@
   struct Place {
     TcpProxy link;
     int port = 0;
-    int life = 0;
+    int incarnation = 0;
     /// Null while the runner is down.
     std::unique_ptr<standin::RunnerServer> server;
   };
--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -81,7 +81,7 @@
 /// Where an order goes: the life of a runner that is meant, at an address. A
 /// next life under the same id obeys it as well.
 struct OrderTarget {
-  IncarnationId life;
+  IncarnationId incarnation;
   std::string address;
   Epoch epoch;
 };
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -12,16 +12,17 @@
 
 namespace limeledge::dispatch {
 
-Runner* Fleet::Find(const IncarnationId& life) {
-  const auto found = runners_.find(life.runner);
-  if (found == runners_.end() || found->second->life() != life) return nullptr;
+Runner* Fleet::Find(const IncarnationId& incarnation) {
+  const auto found = runners_.find(incarnation.runner);
+  if (found == runners_.end() || found->second->incarnation() != incarnation)
+    return nullptr;
   Touch(found->second.get());
   return found->second.get();
 }
 
 Runner* Fleet::FindPresent(const RunnerId& id) {
   const auto found = runners_.find(id);
-  return found == runners_.end() ? nullptr : Find(found->second->life());
+  return found == runners_.end() ? nullptr : Find(found->second->incarnation());
 }
 
 Runner* Fleet::BeginLife(Runner* before, StartTime born, TimePoint now) {
@@ -32,12 +33,12 @@
   return place.get();
 }
 
-Runner* Fleet::FindOrInherit(const IncarnationId& life, TimePoint now) {
-  Runner* runner = FindPresent(life.runner);
+Runner* Fleet::FindOrInherit(const IncarnationId& incarnation, TimePoint now) {
+  Runner* runner = FindPresent(incarnation.runner);
   if (runner == nullptr) {
     RunnerInfo info;
-    info.id = life.runner;
-    info.born = life.born;
+    info.id = incarnation.runner;
+    info.born = incarnation.born;
     runner = (runners_[info.id] = std::make_unique<Runner>(info)).get();
     Touch(runner);
     runner->Unlist(now);
@@ -53,7 +54,7 @@
 }
 
 Duration Fleet::EarlierLeaseOf(const Runner& runner) const {
-  const bool keeps_id = IsReported(runner.life().born);
+  const bool keeps_id = IsReported(runner.incarnation().born);
   return keeps_id ? options_.longest_lease : options_.run_lease;
 }
 
@@ -192,7 +193,7 @@
   if (came_back) {
     runner->LeaseMayLastUntil(ctx.now() + options_.inherited_lease);
   }
-  if (info.born != runner->life().born) TakeHint(ctx, runner, info.born);
+  if (info.born != runner->incarnation().born) TakeHint(ctx, runner, info.born);
   const bool drained = runner->drains_since().has_value();
   runner->Update(info, ctx.now());
   if (drained || !runner->drains_since().has_value()) return;
@@ -204,9 +205,10 @@
 void Fleet::TakeHint(Context& ctx, Runner* runner, StartTime born) {
   if (!IsReported(born) || runner->hinted == born) return;
   runner->hinted = born;
-  ctx.Log(LogId::kRunnerHinted, {{"runner", runner->id().value()},
-                                 {"born", ToString(born)},
-                                 {"known", ToString(runner->life().born)}});
+  ctx.Log(LogId::kRunnerHinted,
+          {{"runner", runner->id().value()},
+           {"born", ToString(born)},
+           {"known", ToString(runner->incarnation().born)}});
   // One that is under way may wait on a connection that is dead.
   runner->look_in_flight = false;
   runner->ended = false;
@@ -365,7 +367,7 @@
 }
 
 OrderTarget Fleet::TargetOf(const Runner& runner, Epoch epoch) {
-  return {runner.life(), runner.info().address, epoch};
+  return {runner.incarnation(), runner.info().address, epoch};
 }
 
 bool Fleet::MayWork(const Runner& runner, TimePoint now) const {
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -110,12 +110,12 @@
   }
   /// Null if that life is not the present one. What the caller changes about
   /// the runner's looks is taken in by the next `Look`.
-  Runner* Find(const IncarnationId& life);
+  Runner* Find(const IncarnationId& incarnation);
   /// The present life of a runner; null if there is none. The same holds.
   Runner* FindPresent(const RunnerId& id);
   /// Finds the present life of a runner on which an earlier scheduler started a
   /// run, or adds one that is not listed and may hold a lease of that one.
-  Runner* FindOrInherit(const IncarnationId& life, TimePoint now);
+  Runner* FindOrInherit(const IncarnationId& incarnation, TimePoint now);
   /// Notes an answer of the runner that carried its clock.
   void NoteHeard(Runner* runner, TimePoint now, std::int64_t clock_ms) const;
   /// Puts the life `born` in the place of `before`, which is over and must not
--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -68,11 +68,11 @@
                     [phase](const Task& task) { return task.phase == phase; }));
 }
 
-Duration Step::UsualElsewhere(const IncarnationId& life) const {
+Duration Step::UsualElsewhere(const IncarnationId& incarnation) const {
   Duration sum;
   std::int64_t count = 0;
   for (const auto& [other, length] : seen_lengths) {
-    if (other.runner == life.runner) continue;
+    if (other.runner == incarnation.runner) continue;
     sum = sum + length;
     ++count;
   }
@@ -129,22 +129,23 @@
   return true;
 }
 
-void Job::Assign(const TaskName& name, int run, const IncarnationId& life,
-                 TimePoint now) {
+void Job::Assign(const TaskName& name, int run,
+                 const IncarnationId& incarnation, TimePoint now) {
   Task* task = Find(name);
   task->phase = TaskPhase::kAssigned;
   task->run = run;
-  task->life = life;
+  task->incarnation = incarnation;
   task->percent = 0;
   task->assigned_at = now;
   has_begun_ = true;
   if (state_ == JobState::kQueued) state_ = JobState::kRunning;
 }
 
-void Job::MoveRun(const TaskName& name, int run, const IncarnationId& life) {
+void Job::MoveRun(const TaskName& name, int run,
+                  const IncarnationId& incarnation) {
   Task* task = Find(name);
   if (task == nullptr || task->phase != TaskPhase::kAssigned) return;
-  if (task->run == run) task->life = life;
+  if (task->run == run) task->incarnation = incarnation;
 }
 
 int Job::NextRun(const TaskName& name) const {
@@ -163,9 +164,9 @@
   const StepSpec& step = spec_.steps[name.step];
   if (end == RunEnd::kFailed) {
     Step& failed = occurrences_[name.occurrence].steps[name.step];
-    failed.failed_on.insert(task->life);
+    failed.failed_on.insert(task->incarnation);
   }
-  task->life = IncarnationId();
+  task->incarnation = IncarnationId();
   task->phase = TaskPhase::kWaiting;
   if (step.gang) {
     EndGangRun(name, end, checkpoint, max_attempts);
@@ -238,13 +239,13 @@
   if (task != nullptr) ForgetOutlived(lasted, rules, &task->losses);
 }
 
-bool Job::SettleLosses(const TaskName& name, const IncarnationId& life,
+bool Job::SettleLosses(const TaskName& name, const IncarnationId& incarnation,
                        LifeFate fate) {
   Task* task = Find(name);
   if (task == nullptr) return false;
   bool changed = false;
   for (auto loss = task->losses.begin(); loss != task->losses.end();) {
-    const bool open = loss->life == life && !loss->crashed;
+    const bool open = loss->incarnation == incarnation && !loss->crashed;
     changed = changed || open;
     if (open && fate == LifeFate::kLives) {
       loss = task->losses.erase(loss);
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -62,7 +62,7 @@
   int run = 0;
   int failures = 0;
   /// Where its present run was started.
-  IncarnationId life;
+  IncarnationId incarnation;
   /// Newest saved progress; empty for none.
   std::string checkpoint;
   /// Runs that went with their runners and tell against the task.
@@ -94,8 +94,9 @@
   std::map<IncarnationId, Duration> seen_lengths;
 
   int CountIn(TaskPhase phase) const;
-  /// The mean length seen on other runners than that of `life`; 0 for none.
-  Duration UsualElsewhere(const IncarnationId& life) const;
+  /// The mean length seen on other runners than that of `incarnation`; 0 for
+  /// none.
+  Duration UsualElsewhere(const IncarnationId& incarnation) const;
 };
 
 /// One occurrence of a job's steps.
@@ -142,11 +143,11 @@
   /// Decides on a new run of `name` at `runner`; returns the run's number.
   /// All members of a gang are assigned with one `run`.
   /// Precondition: the task waits, and `run` is above all of its runs.
-  void Assign(const TaskName& name, int run, const IncarnationId& life,
+  void Assign(const TaskName& name, int run, const IncarnationId& incarnation,
               TimePoint now);
   /// Notes that the task's present run is to be found on another life of its
   /// runner.
-  void MoveRun(const TaskName& name, int run, const IncarnationId& life);
+  void MoveRun(const TaskName& name, int run, const IncarnationId& incarnation);
   /// Smallest number for a next run of the step's task, or of its whole gang.
   int NextRun(const TaskName& name) const;
 
@@ -171,7 +172,7 @@
                   const LossRules& rules);
   /// Notes what became of a life that the task lost runs with. Returns false if
   /// nothing changes.
-  bool SettleLosses(const TaskName& name, const IncarnationId& life,
+  bool SettleLosses(const TaskName& name, const IncarnationId& incarnation,
                     LifeFate fate);
   /// Gives up a task that waits. Returns false, and changes nothing, if it does
   /// not wait.
--- a/src/dispatch/loss_book.cc
+++ b/src/dispatch/loss_book.cc
@@ -34,7 +34,7 @@
 
 void LossBook::NoteOpen(const TaskName& task, const RunLoss& loss,
                         StartTime listed, TimePoint now) {
-  const auto [it, added] = open_.emplace(loss.life, Open());
+  const auto [it, added] = open_.emplace(loss.incarnation, Open());
   if (added) {
     it->second.address = loss.address;
     it->second.listed = listed;
@@ -43,8 +43,8 @@
   it->second.tasks.insert(task);
 }
 
-std::vector<TaskName> LossBook::Close(const IncarnationId& life) {
-  const auto found = open_.find(life);
+std::vector<TaskName> LossBook::Close(const IncarnationId& incarnation) {
+  const auto found = open_.find(incarnation);
   if (found == open_.end()) return {};
   const std::set<TaskName> tasks = std::move(found->second.tasks);
   open_.erase(found);
@@ -54,12 +54,12 @@
 std::vector<IncarnationId> LossBook::LostAt(const std::string& address,
                                             const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
-  for (const auto& [life, open] : open_) {
+  for (const auto& [incarnation, open] : open_) {
     if (address.empty() || open.address != address) continue;
     // An entry that was there when the life was lost tells of no later one.
-    const bool same_runner = life.runner == living.runner;
+    const bool same_runner = incarnation.runner == living.runner;
     const bool older = same_runner && living.born == open.listed;
-    if (life != living && !older) lost.push_back(life);
+    if (incarnation != living && !older) lost.push_back(incarnation);
   }
   return lost;
 }
@@ -67,16 +67,18 @@
 std::vector<IncarnationId> LossBook::LostBefore(
     const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
-  for (const auto& [life, open] : open_) {
-    if (life.runner == living.runner && life != living) lost.push_back(life);
+  for (const auto& [incarnation, open] : open_) {
+    if (incarnation.runner == living.runner && incarnation != living)
+      lost.push_back(incarnation);
   }
   return lost;
 }
 
 std::vector<IncarnationId> LossBook::Overdue(TimePoint now) const {
   std::vector<IncarnationId> overdue;
-  for (const auto& [life, open] : open_) {
-    if (now - open.since >= rules_.longest_doubt) overdue.push_back(life);
+  for (const auto& [incarnation, open] : open_) {
+    if (now - open.since >= rules_.longest_doubt)
+      overdue.push_back(incarnation);
   }
   return overdue;
 }
--- a/src/dispatch/loss_book.h
+++ b/src/dispatch/loss_book.h
@@ -22,7 +22,7 @@
 
 /// A runner that fell silent and is taken for lost.
 struct LostRunner {
-  IncarnationId life;
+  IncarnationId incarnation;
   TimePoint silent_since;
   /// A start right before it fell silent explains its end.
   bool explained = false;
@@ -49,7 +49,7 @@
                 TimePoint now);
   /// Tasks that lost a run with the life, now that its fate is known; they are
   /// forgotten here.
-  std::vector<TaskName> Close(const IncarnationId& life);
+  std::vector<TaskName> Close(const IncarnationId& incarnation);
   /// Lives with open losses at the address which are over, now that the list
   /// tells of `living` there.
   std::vector<IncarnationId> LostAt(const std::string& address,
--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -35,7 +35,7 @@
 Trust TrustOf(const Seat& seat, const PlacementRequest& request) {
   const bool avoided = request.avoided != nullptr &&
                        !request.avoided->empty() &&
-                       request.avoided->count(seat.runner->life()) != 0;
+                       request.avoided->count(seat.runner->incarnation()) != 0;
   if (avoided) return Trust::kAvoided;
   if (seat.suspect) return Trust::kSuspect;
   if (seat.runner->IsSlow()) return Trust::kSlow;
@@ -118,7 +118,7 @@
       seat.urgent_rack && request.urgent_racks == UrgentRacks::kClosed;
   if (closed || info.service != request.service) return false;
   if (request.allowed != nullptr &&
-      request.allowed->count(seat.runner->life()) == 0) {
+      request.allowed->count(seat.runner->incarnation()) == 0) {
     return false;
   }
   if (!step.required_label.empty() &&
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -102,7 +102,7 @@
 /// A run that makes way for urgent work.
 struct Displacement {
   TaskName task;
-  IncarnationId life;
+  IncarnationId incarnation;
   /// The job that needs the room.
   JobId beneficiary;
 };
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -27,7 +27,8 @@
   WakeAt(end);
   request.avoided = &unit.step->failed_on;
   for (const Task& task : unit.step->tasks) {
-    if (task.phase == TaskPhase::kAssigned) ++request.used[task.life.runner];
+    if (task.phase == TaskPhase::kAssigned)
+      ++request.used[task.incarnation.runner];
   }
   if (unit.policy.priority == 0) {
     request.urgent_racks = UrgentRacks::kPreferred;
@@ -87,7 +88,7 @@
   for (const Seat& seat : seating_.seats()) {
     if (!Seating::Suits(seat, request)) continue;
     const bool fits = unit.spec->room().Fits(seat.room);
-    (fits ? wish.runners : full).push_back(seat.runner->life());
+    (fits ? wish.runners : full).push_back(seat.runner->incarnation());
   }
   wish.runners.insert(wish.runners.end(), full.begin(), full.end());
   plan_.advice_wishes.push_back(std::move(wish));
--- a/src/dispatch/row_codec.cc
+++ b/src/dispatch/row_codec.cc
@@ -122,13 +122,13 @@
 Json::Value EncodeLoss(const RunLoss& loss) {
   Json::Value json(Json::arrayValue);
   json.append(loss.run);
-  json.append(loss.life.runner.value());
+  json.append(loss.incarnation.runner.value());
   json.append(loss.address);
   json.append(Json::Int64(loss.lasted.ms()));
   json.append(loss.crashed);
   json.append(loss.suspicious);
-  if (IsReported(loss.life.born)) {
-    json.append(Json::Int64(loss.life.born.value()));
+  if (IsReported(loss.incarnation.born)) {
+    json.append(Json::Int64(loss.incarnation.born.value()));
   }
   return json;
 }
@@ -136,13 +136,13 @@
 RunLoss DecodeLoss(const Json::Value& json) {
   RunLoss loss;
   loss.run = json[0].asInt();
-  loss.life.runner = RunnerId(json[1].asString());
+  loss.incarnation.runner = RunnerId(json[1].asString());
   loss.address = json[2].asString();
   loss.lasted = Duration(json[3].asInt64());
   loss.crashed = json[4].asBool();
   loss.suspicious = json[5].asBool();
   constexpr Json::ArrayIndex kBorn = 6;
-  loss.life.born = BirthAt(json, kBorn);
+  loss.incarnation.born = BirthAt(json, kBorn);
   return loss;
 }
 
@@ -153,14 +153,14 @@
   json.append(static_cast<int>(task.phase));
   json.append(task.run);
   json.append(task.failures);
-  json.append(task.life.runner.value());
+  json.append(task.incarnation.runner.value());
   json.append(task.checkpoint);
-  const bool born = IsReported(task.life.born);
+  const bool born = IsReported(task.incarnation.born);
   if (task.losses.empty() && !born) return json;
   Json::Value losses(Json::arrayValue);
   for (const RunLoss& loss : task.losses) losses.append(EncodeLoss(loss));
   json.append(std::move(losses));
-  if (born) json.append(Json::Int64(task.life.born.value()));
+  if (born) json.append(Json::Int64(task.incarnation.born.value()));
   return json;
 }
 
@@ -171,13 +171,13 @@
   task.phase = static_cast<TaskPhase>(json[1].asInt());
   task.run = json[2].asInt();
   task.failures = json[3].asInt();
-  task.life.runner = RunnerId(json[4].asString());
+  task.incarnation.runner = RunnerId(json[4].asString());
   task.checkpoint = json[5].asString();
   // Rows of tasks that lost no run end here, and so do those of versions that
   // did not count such runs.
   constexpr Json::ArrayIndex kLosses = 6;
   constexpr Json::ArrayIndex kBorn = 7;
-  task.life.born = BirthAt(json, kBorn);
+  task.incarnation.born = BirthAt(json, kBorn);
   if (json.size() <= kLosses) return;
   for (const Json::Value& loss : json[kLosses]) {
     task.losses.push_back(DecodeLoss(loss));
--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -20,7 +20,7 @@
 struct RunLoss {
   int run = 0;
   /// The life that was lost.
-  IncarnationId life;
+  IncarnationId incarnation;
   /// Where another life of the runner would answer; empty if not known.
   std::string address;
   /// How long the run had been under way when the runner fell silent.
--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -90,7 +90,7 @@
 
 bool IsOfLifeBefore(const Runner& runner, const Run& run) {
   return run.phase == RunPhase::kInherited && IsReported(run.stored_for) &&
-         run.stored_for != runner.life().born;
+         run.stored_for != runner.incarnation().born;
 }
 
 bool IsOnProbation(const Run& run, Duration probation, TimePoint now) {
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -33,7 +33,7 @@
   RunnerId id;
   StartTime born;
 
-  IncarnationId life() const { return {id, born}; }
+  IncarnationId incarnation() const { return {id, born}; }
 
   ServiceId service;
   std::string address;
@@ -194,7 +194,7 @@
  public:
   /// The life of which an entry tells; none was heard yet.
   explicit Runner(RunnerInfo info)
-      : info_(std::move(info)), life_(info_.life()) {}
+      : info_(std::move(info)), life_(info_.incarnation()) {}
 
   /// The life that follows this one under its id: at the same place, of which
   /// it keeps the entry, the number of lives and the orders that may come late.
@@ -202,7 +202,7 @@
 
   const RunnerInfo& info() const { return info_; }
   const RunnerId& id() const { return info_.id; }
-  const IncarnationId& life() const { return life_; }
+  const IncarnationId& incarnation() const { return life_; }
   /// Lives that were seen under this id, this one included.
   int lives() const { return lives_; }
   const std::string& rack() const { return info_.rack; }
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -108,11 +108,11 @@
         if (task.phase != TaskPhase::kAssigned) continue;
         const TaskName name{job->spec().id, static_cast<int>(k),
                             static_cast<int>(s), static_cast<int>(i)};
-        Runner* runner = fleet_.FindOrInherit(task.life, ctx.now());
+        Runner* runner = fleet_.FindOrInherit(task.incarnation, ctx.now());
         if (runner->runs().count(name) != 0) continue;
         Run run;
         run.number = task.run;
-        run.stored_for = task.life.born;
+        run.stored_for = task.incarnation.born;
         run.need = job->step_spec(name.step).room();
         run.sharing = job->step_spec(name.step).sharing();
         run.phase = RunPhase::kInherited;
@@ -124,7 +124,7 @@
         runner->Add(name, run);
         // Rows of versions that did not tell lives apart name none.
         if (!IsReported(run.stored_for)) {
-          job->MoveRun(name, run.number, runner->life());
+          job->MoveRun(name, run.number, runner->incarnation());
         }
         if (runner->ended) gone.insert(runner);
       }
@@ -202,11 +202,12 @@
 }
 
 void Scheduler::Displace(Context& ctx, const Displacement& displaced) {
-  Runner* runner = fleet_.Find(displaced.life);
+  Runner* runner = fleet_.Find(displaced.incarnation);
   if (runner == nullptr) return;
-  ctx.Log(LogId::kRunDisplaced, {{"task", ToString(displaced.task)},
-                                 {"runner", displaced.life.runner.value()},
-                                 {"for", displaced.beneficiary.value()}});
+  ctx.Log(LogId::kRunDisplaced,
+          {{"task", ToString(displaced.task)},
+           {"runner", displaced.incarnation.runner.value()},
+           {"for", displaced.beneficiary.value()}});
   AskStop(ctx, runner, displaced.task);
   StopGang(ctx, displaced.task);
 }
@@ -214,8 +215,8 @@
 void Scheduler::Assign(Context& ctx, const Assignment& assignment) {
   const TaskName& name = assignment.task;
   Job* job = book_.Find(name.job);
-  const IncarnationId life = assignment.runner->life();
-  job->Assign(name, assignment.run, life, ctx.now());
+  const IncarnationId incarnation = assignment.runner->incarnation();
+  job->Assign(name, assignment.run, incarnation, ctx.now());
   Run run;
   run.number = assignment.run;
   run.need = job->step_spec(name.step).room();
@@ -230,16 +231,16 @@
   ctx.Log(LogId::kRunAssigned,
           {{"task", ToString(name)},
            {"run", std::to_string(run.number)},
-           {"runner", life.runner.value()},
-           {"born", ToString(life.born)},
+           {"runner", incarnation.runner.value()},
+           {"born", ToString(incarnation.born)},
            {"expected_ms", std::to_string(run.expected.ms())},
            {"near_ms", near_ms},
            {"accelerators", std::to_string(run.need.accelerators)},
            {"cpu_millis", std::to_string(run.need.cpu_millis)}});
   Mark(name.job);
   writer_.After({kProgressTable, name.job.value()},
-                [this, name, number = run.number, life](Context&) {
-                  QueueStart(name, number, life);
+                [this, name, number = run.number, incarnation](Context&) {
+                  QueueStart(name, number, incarnation);
                 });
 }
 
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -194,7 +194,8 @@
   /// Takes an assignment in; the start is sent once it is stored.
   void Assign(Context& ctx, const Assignment& assignment);
   /// Lets a stored run's start wait for its turn.
-  void QueueStart(const TaskName& name, int run, const IncarnationId& life);
+  void QueueStart(const TaskName& name, int run,
+                  const IncarnationId& incarnation);
   /// Sends orders to runners for which something changed.
   void SendOrders(Context& ctx);
   /// Sends what is due first, stops before starts, unless an order is under
@@ -249,7 +250,8 @@
   void CountLoss(Context& ctx, const Runner& runner, const TaskName& name,
                  const Run& run, const RunnerLoss& loss);
   /// It is known now what became of a life.
-  void SettleLosses(Context& ctx, const IncarnationId& life, LifeFate fate);
+  void SettleLosses(Context& ctx, const IncarnationId& incarnation,
+                    LifeFate fate);
   /// Settles the losses of runners whose addresses others have taken.
   void TakeOtherLives(Context& ctx, const RunnersListed& answer);
   /// Settles what was in doubt for too long.
@@ -263,7 +265,7 @@
   /// The same for an order's answer, which does not tell the life that gave it.
   void NoteOrderHeard(Context& ctx, Runner* runner, std::int64_t clock_ms);
   /// The birth that the entry of a life's runner tells now.
-  StartTime ListedBirth(const IncarnationId& life) const;
+  StartTime ListedBirth(const IncarnationId& incarnation) const;
 
   // Lives (scheduler_lives.cc).
   /// What a run of the life before is to the next one.
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -47,7 +47,7 @@
 
 Runner* Scheduler::BeginLife(Context& ctx, Runner* before,
                              const RunnerLooked& answer) {
-  const IncarnationId old_life = before->life();
+  const IncarnationId old_life = before->incarnation();
   std::vector<TaskName> never;
   std::vector<TaskName> lost;
   std::vector<TaskName> moved;
@@ -155,7 +155,7 @@
   Job* job = book_.Find(name.job);
   // The row of a run that is still to be judged goes on naming its life.
   if (job == nullptr || IsOfLifeBefore(*next, run)) return;
-  job->MoveRun(name, run.number, next->life());
+  job->MoveRun(name, run.number, next->incarnation());
   Mark(name.job);
 }
 
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -25,7 +25,7 @@
 LostRunner DescribeLost(const Runner& runner, TimePoint silent_since,
                         const LossRules& rules) {
   LostRunner lost;
-  lost.life = runner.life();
+  lost.incarnation = runner.incarnation();
   lost.silent_since = silent_since;
   for (const auto& [name, run] : runner.runs()) {
     const std::optional<Duration> lasted = TimeUntilSilence(run, silent_since);
@@ -52,7 +52,7 @@
 /// The life that the run was started on.
 IncarnationId LifeOf(const Runner& runner, const Run& run) {
   const bool before = IsOfLifeBefore(runner, run);
-  return {runner.id(), before ? run.stored_for : runner.life().born};
+  return {runner.id(), before ? run.stored_for : runner.incarnation().born};
 }
 
 /// "RUN@RUNNER" of each, for logs.
@@ -60,7 +60,7 @@
   std::string text;
   for (const RunLoss& loss : losses) {
     absl::StrAppend(&text, text.empty() ? "" : " ", loss.run, "@",
-                    loss.life.runner.value());
+                    loss.incarnation.runner.value());
   }
   return text;
 }
@@ -130,7 +130,7 @@
   const bool soon = lasted.has_value() && *lasted <= options_.losses.soon;
   RunLoss lost;
   lost.run = run.number;
-  lost.life = LifeOf(runner, run);
+  lost.incarnation = LifeOf(runner, run);
   lost.address = runner.info().address;
   lost.lasted = lasted.value_or(Duration(0));
   lost.crashed = loss.how == RunnerEnd::kCrashed;
@@ -141,7 +141,7 @@
   job->NoteLasted(name, lost.lasted, options_.losses);
   if (!job->NoteLoss(name, lost)) return;
   if (lost.crashed) return;
-  losses_.NoteOpen(name, lost, ListedBirth(lost.life), ctx.now());
+  losses_.NoteOpen(name, lost, ListedBirth(lost.incarnation), ctx.now());
 }
 
 bool Scheduler::WentWithOthers(const Runner& runner) const {
@@ -150,26 +150,26 @@
   const TimePoint moment = *runner.silent_since();
   std::vector<LostRunner> lost = losses_.LostAround(moment);
   std::set<IncarnationId> known;
-  for (const LostRunner& other : lost) known.insert(other.life);
+  for (const LostRunner& other : lost) known.insert(other.incarnation);
   for (const auto& [id, other] : fleet_.runners()) {
     const std::optional<TimePoint> since = other->silent_since();
     if (!since.has_value() || other->LeftAsKnown()) continue;
     const bool same_moment = *since <= moment + rules.same_moment &&
                              moment <= *since + rules.same_moment;
-    if (!same_moment || !known.insert(other->life()).second) continue;
+    if (!same_moment || !known.insert(other->incarnation()).second) continue;
     lost.push_back(DescribeLost(*other, *since, rules));
   }
   return CountUnexplained(lost) >= rules.unexplained_runners;
 }
 
-void Scheduler::SettleLosses(Context& ctx, const IncarnationId& life,
+void Scheduler::SettleLosses(Context& ctx, const IncarnationId& incarnation,
                              LifeFate fate) {
-  for (const TaskName& name : losses_.Close(life)) {
+  for (const TaskName& name : losses_.Close(incarnation)) {
     Job* job = book_.Find(name.job);
-    if (job == nullptr || !job->SettleLosses(name, life, fate)) continue;
+    if (job == nullptr || !job->SettleLosses(name, incarnation, fate)) continue;
     ctx.Log(LogId::kLossSettled, {{"task", ToString(name)},
-                                  {"runner", life.runner.value()},
-                                  {"born", ToString(life.born)},
+                                  {"runner", incarnation.runner.value()},
+                                  {"born", ToString(incarnation.born)},
                                   {"lives", ToString(fate)}});
     Mark(name.job);
     JudgeTask(ctx, name);
@@ -181,7 +181,7 @@
   if (!losses_.HasOpen()) return;
   for (const RunnerInfo& info : answer.runners) {
     for (const IncarnationId& lost :
-         losses_.LostAt(info.address, info.life())) {
+         losses_.LostAt(info.address, info.incarnation())) {
       SettleLosses(ctx, lost, LifeFate::kCrashed);
     }
   }
@@ -189,8 +189,8 @@
 
 void Scheduler::SettleOverdue(Context& ctx) {
   if (!losses_.HasOpen()) return;
-  for (const IncarnationId& life : losses_.Overdue(ctx.now())) {
-    SettleLosses(ctx, life, LifeFate::kNeverHeardOf);
+  for (const IncarnationId& incarnation : losses_.Overdue(ctx.now())) {
+    SettleLosses(ctx, incarnation, LifeFate::kNeverHeardOf);
   }
 }
 
@@ -220,7 +220,8 @@
         if (!task.losses.empty()) lost.push_back(name);
         for (const RunLoss& loss : task.losses) {
           if (loss.crashed) continue;
-          losses_.NoteOpen(name, loss, ListedBirth(loss.life), ctx.now());
+          losses_.NoteOpen(name, loss, ListedBirth(loss.incarnation),
+                           ctx.now());
         }
       }
     }
@@ -231,9 +232,10 @@
 void Scheduler::NoteHeard(Context& ctx, Runner* runner, std::int64_t clock_ms) {
   fleet_.NoteHeard(runner, ctx.now(), clock_ms);
   if (!losses_.HasOpen()) return;
-  SettleLosses(ctx, runner->life(), LifeFate::kLives);
+  SettleLosses(ctx, runner->incarnation(), LifeFate::kLives);
   // One that was followed by another does not live on.
-  for (const IncarnationId& before : losses_.LostBefore(runner->life())) {
+  for (const IncarnationId& before :
+       losses_.LostBefore(runner->incarnation())) {
     SettleLosses(
         ctx, before,
         IsReported(before.born) ? LifeFate::kCrashed : LifeFate::kLives);
@@ -242,12 +244,12 @@
 
 void Scheduler::NoteOrderHeard(Context& ctx, Runner* runner,
                                std::int64_t clock_ms) {
-  if (IsReported(runner->life().born) || clock_ms <= 0) return;
+  if (IsReported(runner->incarnation().born) || clock_ms <= 0) return;
   NoteHeard(ctx, runner, clock_ms);
 }
 
-StartTime Scheduler::ListedBirth(const IncarnationId& life) const {
-  const auto found = fleet_.runners().find(life.runner);
+StartTime Scheduler::ListedBirth(const IncarnationId& incarnation) const {
+  const auto found = fleet_.runners().find(incarnation.runner);
   return found == fleet_.runners().end() ? StartTime()
                                          : found->second->info().born;
 }
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -62,14 +62,14 @@
 }  // namespace
 
 void Scheduler::QueueStart(const TaskName& name, int number,
-                           const IncarnationId& life) {
-  Runner* runner = fleet_.Find(life);
+                           const IncarnationId& incarnation) {
+  Runner* runner = fleet_.Find(incarnation);
   if (runner == nullptr) return;
   Run* run = runner->FindRun(name, number);
   if (run == nullptr) return;
   run->phase = RunPhase::kStored;
   runner->waiting_starts.emplace_back(name, number);
-  orders_due_.insert(life.runner);
+  orders_due_.insert(incarnation.runner);
 }
 
 void Scheduler::SendOrders(Context& ctx) {
@@ -153,7 +153,7 @@
 std::string Scheduler::TicketOf(TimePoint now, const Runner& runner,
                                 const TaskName& name) const {
   return advice_.TicketFor({name.job, name.occurrence, name.step},
-                           runner.life(), now);
+                           runner.incarnation(), now);
 }
 
 void Scheduler::GiveUpStart(Context& ctx, Runner* runner, const TaskName& name,
@@ -245,7 +245,7 @@
   for (std::size_t i = 0; i < step.tasks.size(); ++i) {
     const Task& member = step.tasks[i];
     if (member.phase != TaskPhase::kAssigned) continue;
-    Runner* runner = fleet_.Find(member.life);
+    Runner* runner = fleet_.Find(member.incarnation);
     TaskName other = name;
     other.index = static_cast<int>(i);
     if (runner != nullptr) AskStop(ctx, runner, other);
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -39,12 +39,12 @@
 void Scheduler::JudgePace(Context& ctx, Runner* runner, Job* job,
                           const TaskName& name, const Run& run, double length) {
   Step& step = job->occurrences()[name.occurrence].steps[name.step];
-  const Duration elsewhere = step.UsualElsewhere(runner->life());
+  const Duration elsewhere = step.UsualElsewhere(runner->incarnation());
   const Duration seen(std::llround(length));
   if (elsewhere > Duration(0)) {
     runner->NoteUsualPace(length / static_cast<double>(elsewhere.ms()));
   }
-  Duration& shortest = step.seen_lengths[runner->life()];
+  Duration& shortest = step.seen_lengths[runner->incarnation()];
   shortest = shortest == Duration(0) ? seen : std::min(shortest, seen);
   const std::optional<double> factor = times_.LikelyFactor(job->spec().queue);
   if (!factor.has_value()) return;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -179,7 +179,7 @@
   LoseRuns(ctx, runner, names,
            runner->LeftAsKnown() ? RunnerEnd::kLeft : RunnerEnd::kCrashed);
   runner->ended = true;
-  SettleLosses(ctx, runner->life(), LifeFate::kCrashed);
+  SettleLosses(ctx, runner->incarnation(), LifeFate::kCrashed);
 }
 
 void Scheduler::EndLapsed(Context& ctx, Runner* runner) {
@@ -224,7 +224,7 @@
     return Verdict::kGoesOn;
   }
   // What left after a life was heard is answered by that one or a later one.
-  if (answer.born != runner->life().born) {
+  if (answer.born != runner->incarnation().born) {
     runner = BeginLife(ctx, runner, answer);
   }
   if (!runner->reachable()) {
@@ -282,11 +282,11 @@
   const RowKey key{kProgressTable, end.task.job.value()};
   if (!writer_.IsPending(key)) return;
   runner->unstored_ends.insert(end.number);
-  writer_.After(key,
-                [this, life = runner->life(), number = end.number](Context&) {
-                  Runner* later = fleet_.Find(life);
-                  if (later != nullptr) later->unstored_ends.erase(number);
-                });
+  writer_.After(key, [this, incarnation = runner->incarnation(),
+                      number = end.number](Context&) {
+    Runner* later = fleet_.Find(incarnation);
+    if (later != nullptr) later->unstored_ends.erase(number);
+  });
 }
 
 // Its lease seemed to be over, and the task went on elsewhere. If it has really
@@ -318,12 +318,12 @@
   if (job == nullptr || end.end != RunEnd::kDone) return;
   const Task* task = job->Find(end.task);
   if (task == nullptr || end.run > task->run) return;
-  Runner* present = fleet_.Find(task->life);
+  Runner* present = fleet_.Find(task->incarnation);
   if (!job->NoteDoneAfterAll(end.task)) return;
   ctx.Log(LogId::kRunDoneLate, {{"task", ToString(end.task)},
                                 {"run", std::to_string(end.run)},
                                 {"runner", runner.id().value()},
-                                {"born", ToString(runner.life().born)}});
+                                {"born", ToString(runner.incarnation().born)}});
   // Other members of a gang break when this one goes.
   if (present != nullptr) AskStop(ctx, present, end.task);
   Settle(ctx, job);
@@ -421,7 +421,7 @@
           {{"task", ToString(name)},
            {"run", std::to_string(found->second.number)},
            {"runner", runner->id().value()},
-           {"born", ToString(runner->life().born)},
+           {"born", ToString(runner->incarnation().born)},
            {"newest_end", std::to_string(runner->newest_end)}});
   runner->written_off.insert({name, found->second.number});
   EndRun(ctx, runner, name, RunEnd::kLapsed, "");
--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -40,9 +40,9 @@
     node = other;
     break;
   }
-  const int life = processes_[node].life;
+  const int incarnation = processes_[node].incarnation;
   At(now_ + options_.network,
-     [this, node, life, call] { Deliver(node, life, call); });
+     [this, node, incarnation, call] { Deliver(node, incarnation, call); });
   At(now_ + kCallerDeadline, [this, id] {
     const auto open = calls_.find(id);
     if (open == calls_.end()) return;
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -47,7 +47,7 @@
 }
 
 void EmulatedSystem::Perform(int node, const dispatch::AskPeer& ask) {
-  const int life = processes_[node].life;
+  const int incarnation = processes_[node].incarnation;
   dispatch::PeerAnswered answer;
   answer.address = ask.address;
   for (std::size_t i = 0; i < processes_.size(); ++i) {
@@ -60,7 +60,8 @@
     answer.store_age = now_ - peer.node->store_answered_at();
   }
   const Duration taken = answer.answered ? options_.network * 2 : ask.timeout;
-  At(now_ + taken, [this, node, life, answer] { Deliver(node, life, answer); });
+  At(now_ + taken,
+     [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
 }
 
 void EmulatedSystem::Perform(int, const dispatch::AnswerCall& answer) {
@@ -81,10 +82,11 @@
 void EmulatedSystem::CallStore(int node, Duration timeout,
                                std::function<Answer()> carry_out, Answer lost,
                                Duration queued) {
-  const int life = processes_[node].life;
+  const int incarnation = processes_[node].incarnation;
   const TimePoint sent = now_;
-  const auto give_up = [this, node, life, lost](TimePoint at) {
-    At(at, [this, node, life, lost] { Deliver(node, life, lost); });
+  const auto give_up = [this, node, incarnation, lost](TimePoint at) {
+    At(at,
+       [this, node, incarnation, lost] { Deliver(node, incarnation, lost); });
   };
   const Duration work = options_.store_time * faults_.store_slowness + queued;
   At(now_ + options_.network + work, [=] {
@@ -99,8 +101,9 @@
       give_up(std::max(sent + timeout, now_));
       return;
     }
-    At(now_ + options_.network,
-       [this, node, life, answer] { Deliver(node, life, answer); });
+    At(now_ + options_.network, [this, node, incarnation, answer] {
+      Deliver(node, incarnation, answer);
+    });
   });
 }
 
@@ -118,8 +121,10 @@
       IsAway(commit.transaction.part) || free_at - now_ > kLongestQueue;
   if (refused) {
     lost.outcome = StoreOutcome::kNotDone;
-    At(now_ + options_.network * 2, [this, node, life = processes_[node].life,
-                                     lost] { Deliver(node, life, lost); });
+    At(now_ + options_.network * 2,
+       [this, node, incarnation = processes_[node].incarnation, lost] {
+         Deliver(node, incarnation, lost);
+       });
     return;
   }
   free_at = free_at + options_.transaction_time * faults_.store_slowness;
@@ -155,10 +160,10 @@
 }
 
 void EmulatedSystem::Perform(int node, const dispatch::AwaitChanges& follow) {
-  Follow(node, processes_[node].life, follow, now_ + follow.wait);
+  Follow(node, processes_[node].incarnation, follow, now_ + follow.wait);
 }
 
-void EmulatedSystem::Follow(int node, int life,
+void EmulatedSystem::Follow(int node, int incarnation,
                             const dispatch::AwaitChanges& effect,
                             TimePoint until) {
   const bool away = IsCutOffFromStore(node);
@@ -170,13 +175,13 @@
       now_ < until &&
       (away || (answer.rows.empty() && answer.outcome == StoreOutcome::kDone));
   if (waits) {
-    At(now_ + kFeedStep, [this, node, life, effect, until] {
-      Follow(node, life, effect, until);
+    At(now_ + kFeedStep, [this, node, incarnation, effect, until] {
+      Follow(node, incarnation, effect, until);
     });
     return;
   }
   At(now_ + options_.network,
-     [this, node, life, answer] { Deliver(node, life, answer); });
+     [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
 }
 
 void EmulatedSystem::Perform(int node, const dispatch::ReadCatalog&) {
@@ -188,15 +193,15 @@
 }
 
 void EmulatedSystem::AnswerCatalog(int node, Duration after, bool whole) {
-  const int life = processes_[node].life;
-  At(now_ + after, [this, node, life, whole] {
+  const int incarnation = processes_[node].incarnation;
+  At(now_ + after, [this, node, incarnation, whole] {
     const bool away = IsCutOffFromStore(node);
     dispatch::CatalogAnswered answer;
     answer.outcome = away ? StoreOutcome::kNotDone : StoreOutcome::kDone;
     if (!away && whole) answer.catalog = catalog_;
     answer.names_all_halls = !away;
     for (const auto& [hall, since] : emptied_halls_) answer.halls[hall] = true;
-    Deliver(node, life, answer);
+    Deliver(node, incarnation, answer);
   });
 }
 
@@ -224,7 +229,8 @@
 
 void EmulatedSystem::Perform(int node, const dispatch::ListRunners& effect) {
   if (effect.after != Revision()) {
-    FollowRunners(node, processes_[node].life, effect, now_ + effect.wait);
+    FollowRunners(node, processes_[node].incarnation, effect,
+                  now_ + effect.wait);
     return;
   }
   CallStore<dispatch::RunnersListed>(
@@ -242,26 +248,27 @@
       dispatch::RunnersListed());
 }
 
-void EmulatedSystem::FollowRunners(int node, int life,
+void EmulatedSystem::FollowRunners(int node, int incarnation,
                                    const dispatch::ListRunners& effect,
                                    TimePoint until) {
   Process& process = processes_[node];
-  if (process.life != life) return;
+  if (process.incarnation != incarnation) return;
   const bool lost =
       IsCutOffFromStore(node) || Happens(faults_.store_answers_lost);
   const dispatch::RunnersListed changes =
       lost ? dispatch::RunnersListed() : ChangesOfRunners(process.list_seen);
   const bool changed = !changes.runners.empty() || !changes.gone.empty();
   if (now_ < until && !changed) {
-    At(now_ + kFeedStep, [this, node, life, effect, until] {
-      FollowRunners(node, life, effect, until);
+    At(now_ + kFeedStep, [this, node, incarnation, effect, until] {
+      FollowRunners(node, incarnation, effect, until);
     });
     return;
   }
-  At(now_ + options_.network, [this, node, life, changes] {
+  At(now_ + options_.network, [this, node, incarnation, changes] {
     Process& later = processes_[node];
-    if (later.life == life && changes.ok) Apply(changes, &later.list_seen);
-    Deliver(node, life, changes);
+    if (later.incarnation == incarnation && changes.ok)
+      Apply(changes, &later.list_seen);
+    Deliver(node, incarnation, changes);
   });
 }
 
--- a/src/emulator/emulated_catalog.cc
+++ b/src/emulator/emulated_catalog.cc
@@ -35,9 +35,9 @@
 }
 
 std::string TicketStart(const dispatch::StepName& step,
-                        const dispatch::IncarnationId& life) {
-  return absl::StrCat(ToString(step), " at ", life.runner.value(), "@",
-                      life.born.value(), kTicketMark);
+                        const dispatch::IncarnationId& incarnation) {
+  return absl::StrCat(ToString(step), " at ", incarnation.runner.value(), "@",
+                      incarnation.born.value(), kTicketMark);
 }
 
 }  // namespace
@@ -48,13 +48,14 @@
 }
 
 std::string MakeTicket(const dispatch::StepName& step,
-                       const dispatch::IncarnationId& life, TimePoint until) {
-  return absl::StrCat(TicketStart(step, life), until.ms());
+                       const dispatch::IncarnationId& incarnation,
+                       TimePoint until) {
+  return absl::StrCat(TicketStart(step, incarnation), until.ms());
 }
 
 bool TicketHolds(const std::string& ticket, const dispatch::StepName& step,
-                 const dispatch::IncarnationId& life, TimePoint at) {
-  const std::string start = TicketStart(step, life);
+                 const dispatch::IncarnationId& incarnation, TimePoint at) {
+  const std::string start = TicketStart(step, incarnation);
   std::int64_t until = 0;
   if (!absl::StartsWith(ticket, start)) return false;
   if (!absl::SimpleAtoi(ticket.substr(start.size()), &until)) return false;
@@ -62,8 +63,8 @@
 }
 
 bool TicketIsFor(const std::string& ticket, const dispatch::StepName& step,
-                 const dispatch::IncarnationId& life) {
-  return absl::StartsWith(ticket, TicketStart(step, life));
+                 const dispatch::IncarnationId& incarnation) {
+  return absl::StartsWith(ticket, TicketStart(step, incarnation));
 }
 
 dispatch::Catalog MakeCatalog(int attempts) {
--- a/src/emulator/emulated_catalog.h
+++ b/src/emulator/emulated_catalog.h
@@ -31,14 +31,15 @@
 /// The ticket with which tasks of the step start on that life of a runner until
 /// that moment. Thread-safe.
 std::string MakeTicket(const dispatch::StepName& step,
-                       const dispatch::IncarnationId& life, TimePoint until);
+                       const dispatch::IncarnationId& incarnation,
+                       TimePoint until);
 /// True if the ticket lets tasks of the step start there at a moment.
 /// Thread-safe.
 bool TicketHolds(const std::string& ticket, const dispatch::StepName& step,
-                 const dispatch::IncarnationId& life, TimePoint at);
+                 const dispatch::IncarnationId& incarnation, TimePoint at);
 /// True if the ticket is one for that life, whenever. Thread-safe.
 bool TicketIsFor(const std::string& ticket, const dispatch::StepName& step,
-                 const dispatch::IncarnationId& life);
+                 const dispatch::IncarnationId& incarnation);
 
 /// One queue of each priority, which gives each task so many attempts, one
 /// service and one workspace. Thread-safe.
--- a/src/emulator/emulated_oracle.cc
+++ b/src/emulator/emulated_oracle.cc
@@ -127,7 +127,7 @@
   const bool nobody_knows =
       !runner.KnownFor(kBarTime) || now_ - leader_changed_at_ <= kTakeOver;
   const bool foreign =
-      order.target.life != runner.info().life() && nobody_knows;
+      order.target.incarnation != runner.info().incarnation() && nobody_knows;
   if (foreign) oracle_.NoteForeignStart({order.task, order.run});
   oracle_.NoteStart(order);
   CheckRoom(runner, order, sent_at);
@@ -142,7 +142,7 @@
   const dispatch::StepName step{order.task.job, order.task.occurrence,
                                 order.task.step};
   if (watch->spec.policy.priority == kAdvisedPriority &&
-      !TicketHolds(order.ticket, step, runner.info().life(), sent_at)) {
+      !TicketHolds(order.ticket, step, runner.info().incarnation(), sent_at)) {
     oracle_.Violate(absl::StrCat("start of ", ToString(order.task),
                                  " without a ticket that holds"));
   }
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -39,30 +39,31 @@
 
 void EmulatedSystem::Perform(int node, const dispatch::LookAtRunner& look) {
   CheckMayAct(node, "looks at a runner");
-  const int life = processes_[node].life;
+  const int incarnation = processes_[node].incarnation;
   ++looks_;
   if (Happens(faults_.looks_lost)) {
-    LoseLook(node, life, look);
+    LoseLook(node, incarnation, look);
     return;
   }
   if (Happens(faults_.looks_late)) {
-    LoseLook(node, life, look);
+    LoseLook(node, incarnation, look);
     At(now_ + LateBy(), [this, look] { CarryOutLate(look); });
     return;
   }
-  At(now_ + options_.network, [this, node, life, look] {
-    AnswerLook(node, life, look, now_ + look.wait, dispatch::IncarnationId());
+  At(now_ + options_.network, [this, node, incarnation, look] {
+    AnswerLook(node, incarnation, look, now_ + look.wait,
+               dispatch::IncarnationId());
   });
 }
 
-void EmulatedSystem::LoseLook(int node, int life,
+void EmulatedSystem::LoseLook(int node, int incarnation,
                               const dispatch::LookAtRunner& look) {
   dispatch::RunnerLooked lost;
-  lost.asked = look.target.life;
+  lost.asked = look.target.incarnation;
   lost.number = look.number;
   lost.epoch = look.target.epoch;
   At(now_ + look.wait + kOrderTimeout,
-     [this, node, life, lost] { Deliver(node, life, lost); });
+     [this, node, incarnation, lost] { Deliver(node, incarnation, lost); });
 }
 
 Duration EmulatedSystem::LateBy() {
@@ -79,7 +80,7 @@
   const std::vector<dispatch::ListedEnd> unread = runner->TakeUnreadEnds();
   // A call that comes to a later life than it was meant for can't be taken
   // back: what that life forgets by it breaks no promise.
-  if (look.target.life != runner->info().life()) return;
+  if (look.target.incarnation != runner->info().incarnation()) return;
   oracle_.NoteUnread(unread);
   NoteLook(look, answer, *runner);
 }
@@ -88,19 +89,19 @@
                               const dispatch::RunnerLooked& answer,
                               const EmulatedRunner& runner) {
   oracle_.NoteLook(look, answer, [&](std::int64_t end) {
-    const bool same_runner = runner.info().id == look.target.life.runner;
+    const bool same_runner = runner.info().id == look.target.incarnation.runner;
     return same_runner && !runner.LapsedSince(end);
   });
 }
 
-void EmulatedSystem::AnswerLook(int node, int life,
+void EmulatedSystem::AnswerLook(int node, int incarnation,
                                 const dispatch::LookAtRunner& look,
                                 TimePoint until,
                                 const dispatch::IncarnationId& waits_at) {
   DropIfCrashed(look.target.address);
-  const RunnerId& id = look.target.life.runner;
+  const RunnerId& id = look.target.incarnation.runner;
   dispatch::RunnerLooked answer;
-  answer.asked = look.target.life;
+  answer.asked = look.target.incarnation;
   answer.number = look.number;
   answer.epoch = look.target.epoch;
   const auto at = runner_at_.find(look.target.address);
@@ -108,17 +109,20 @@
     const bool dead = at == runner_at_.end() && Reaches(id);
     answer.outcome = dead ? OrderOutcome::kNotSent : OrderOutcome::kLost;
     At(now_ + (dead ? options_.network : kOrderTimeout),
-       [this, node, life, answer] { Deliver(node, life, answer); });
+       [this, node, incarnation, answer] {
+         Deliver(node, incarnation, answer);
+       });
     return;
   }
   EmulatedRunner* runner = FindRunner(at->second);
-  const dispatch::IncarnationId there = runner->info().life();
+  const dispatch::IncarnationId there = runner->info().incarnation();
   const bool reset = waits_at.runner == there.runner && waits_at != there;
   if (reset) {
     // The life at which the look waited is gone, and its connection with it.
     answer.outcome = OrderOutcome::kLost;
-    At(now_ + options_.network,
-       [this, node, life, answer] { Deliver(node, life, answer); });
+    At(now_ + options_.network, [this, node, incarnation, answer] {
+      Deliver(node, incarnation, answer);
+    });
     return;
   }
   // The lease is renewed when the look comes, not when it is answered.
@@ -129,14 +133,14 @@
   if (waits) {
     dispatch::LookAtRunner rest = look;
     rest.until_ms = 0;
-    At(now_ + kLookStep, [this, node, life, rest, until, there] {
-      AnswerLook(node, life, rest, until, there);
+    At(now_ + kLookStep, [this, node, incarnation, rest, until, there] {
+      AnswerLook(node, incarnation, rest, until, there);
     });
     return;
   }
   NoteLook(look, answer, *runner);
   At(now_ + options_.network,
-     [this, node, life, answer] { Deliver(node, life, answer); });
+     [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
 }
 
 void EmulatedSystem::Perform(int node, const dispatch::AskAdvice& ask) {
@@ -146,27 +150,27 @@
   answer.asked = ask.runners;
   answer.valid = kTicketTime;
   const TimePoint until = now_ + kAdviceTime + kTicketTime;
-  for (const dispatch::IncarnationId& life : ask.runners) {
+  for (const dispatch::IncarnationId& incarnation : ask.runners) {
     // Every other runner may run a step, in all of its lives.
     int index = 0;
-    std::sscanf(life.runner.value().c_str(), "i-%d-", &index);
+    std::sscanf(incarnation.runner.value().c_str(), "i-%d-", &index);
     if (index % 2 == 0) {
       // It is made out for the life that is there now.
-      const EmulatedRunner* present = FindRunner(life.runner);
+      const EmulatedRunner* present = FindRunner(incarnation.runner);
       const dispatch::IncarnationId holder =
-          present == nullptr ? life : present->info().life();
-      answer.tickets[life] = MakeTicket(ask.step, holder, until);
+          present == nullptr ? incarnation : present->info().incarnation();
+      answer.tickets[incarnation] = MakeTicket(ask.step, holder, until);
     }
   }
-  const int life = processes_[node].life;
+  const int incarnation = processes_[node].incarnation;
   At(now_ + kAdviceTime,
-     [this, node, life, answer] { Deliver(node, life, answer); });
+     [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
 }
 
 template <typename Answer, typename Order>
 void EmulatedSystem::SendOrder(int node, const Order& order, Answer answer,
                                const CarryOut<Answer>& carry_out) {
-  auto& lane = processes_[node].order_lanes[order.target.life];
+  auto& lane = processes_[node].order_lanes[order.target.incarnation];
   lane.push([this, node, order, answer, carry_out] {
     SendOrderNow(node, order, answer, carry_out);
   });
@@ -174,9 +178,9 @@
   if (lane.size() == 1) lane.front()();
 }
 
-void EmulatedSystem::FinishOrder(int node, int life,
+void EmulatedSystem::FinishOrder(int node, int incarnation,
                                  const dispatch::IncarnationId& runner) {
-  if (processes_[node].life != life) return;
+  if (processes_[node].incarnation != incarnation) return;
   auto& lane = processes_[node].order_lanes[runner];
   lane.pop();
   if (!lane.empty()) lane.front()();
@@ -185,13 +189,14 @@
 template <typename Answer, typename Order>
 void EmulatedSystem::SendOrderNow(int node, const Order& order, Answer answer,
                                   const CarryOut<Answer>& carry_out) {
-  const int life = processes_[node].life;
-  const dispatch::IncarnationId meant = order.target.life;
+  const int incarnation = processes_[node].incarnation;
+  const dispatch::IncarnationId meant = order.target.incarnation;
   const std::string address = order.target.address;
-  const auto reply = [this, node, life, meant](Duration after, Answer body) {
-    At(now_ + after, [this, node, life, meant, body] {
-      FinishOrder(node, life, meant);
-      Deliver(node, life, body);
+  const auto reply = [this, node, incarnation, meant](Duration after,
+                                                      Answer body) {
+    At(now_ + after, [this, node, incarnation, meant, body] {
+      FinishOrder(node, incarnation, meant);
+      Deliver(node, incarnation, body);
     });
   };
   const auto arrive = [this, meant, address, carry_out, answer,
@@ -234,7 +239,7 @@
 
 void EmulatedSystem::Perform(int node, const dispatch::StartRun& start) {
   CheckMayAct(node, "starts a run");
-  dispatch::StartAnswered answer{start.target.life,
+  dispatch::StartAnswered answer{start.target.incarnation,
                                  start.target.epoch,
                                  start.task,
                                  start.run,
@@ -248,7 +253,7 @@
                                       start.task.step};
         const bool foreign =
             !start.ticket.empty() &&
-            !TicketIsFor(start.ticket, step, runner->info().life());
+            !TicketIsFor(start.ticket, step, runner->info().incarnation());
         if (foreign) {
           dispatch::StartAnswered refused = answer;
           refused.outcome = OrderOutcome::kNoTicket;
@@ -264,9 +269,12 @@
 
 void EmulatedSystem::Perform(int node, const dispatch::StopRun& stop) {
   CheckMayAct(node, "stops a run");
-  dispatch::StopAnswered answer{stop.target.life,    stop.target.epoch,
-                                stop.task,           stop.run,
-                                OrderOutcome::kLost, 0};
+  dispatch::StopAnswered answer{stop.target.incarnation,
+                                stop.target.epoch,
+                                stop.task,
+                                stop.run,
+                                OrderOutcome::kLost,
+                                0};
   SendOrder<dispatch::StopAnswered>(
       node, stop, answer, [this, stop](EmulatedRunner* runner, TimePoint) {
         Trace(absl::StrCat("stop ", ToString(stop.task), " run ", stop.run,
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -208,7 +208,7 @@
 
 dispatch::StartAnswered EmulatedRunner::Start(const dispatch::StartRun& order) {
   dispatch::StartAnswered answer;
-  answer.asked = order.target.life;
+  answer.asked = order.target.incarnation;
   answer.epoch = order.target.epoch;
   answer.task = order.task;
   answer.run = order.run;
@@ -218,7 +218,8 @@
 }
 
 OrderOutcome EmulatedRunner::TakeStart(const dispatch::StartRun& order) {
-  if (order.target.life.runner != info_.id) return OrderOutcome::kOtherLife;
+  if (order.target.incarnation.runner != info_.id)
+    return OrderOutcome::kOtherLife;
   if (!Obeys(order.target.epoch)) return OrderOutcome::kFenced;
   const bool too_late =
       order.until_ms <= clock_ms() && bounds_.lease_from_arrival == Duration(0);
@@ -262,13 +263,13 @@
 
 dispatch::StopAnswered EmulatedRunner::Stop(const dispatch::StopRun& order) {
   dispatch::StopAnswered answer;
-  answer.asked = order.target.life;
+  answer.asked = order.target.incarnation;
   answer.epoch = order.target.epoch;
   answer.task = order.task;
   answer.run = order.run;
   answer.clock_ms = clock_ms();
   answer.outcome = OrderOutcome::kDone;
-  if (order.target.life.runner != info_.id) {
+  if (order.target.incarnation.runner != info_.id) {
     answer.outcome = OrderOutcome::kOtherLife;
     return answer;
   }
@@ -297,13 +298,13 @@
 dispatch::RunnerLooked EmulatedRunner::Look(
     const dispatch::LookAtRunner& look) {
   dispatch::RunnerLooked answer;
-  answer.asked = look.target.life;
+  answer.asked = look.target.incarnation;
   answer.number = look.number;
   answer.born = info_.born;
   answer.epoch = look.target.epoch;
   answer.clock_ms = clock_ms();
   answer.outcome = OrderOutcome::kDone;
-  if (look.target.life.runner != info_.id) {
+  if (look.target.incarnation.runner != info_.id) {
     answer.outcome = OrderOutcome::kOtherLife;
     return answer;
   }
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -79,7 +79,7 @@
 
 void EmulatedSystem::StartNode(int node) {
   Process& process = processes_[node];
-  ++process.life;
+  ++process.incarnation;
   process.held.clear();
   process.woken_for = TimePoint();
   process.frozen_until = TimePoint();
@@ -88,7 +88,7 @@
   process.stopping = false;
   oracle_.NoteFault(now_);
   dispatch::NodeOptions options;
-  options.name = absl::StrCat("n", node, "/", process.life);
+  options.name = absl::StrCat("n", node, "/", process.incarnation);
   options.instance = absl::StrCat("n", node);
   options.peer_address = options.instance;
   options.scheduler.planner = options_.planner;
@@ -101,18 +101,18 @@
 void EmulatedSystem::KillNode(int node, Duration down) {
   Process& process = processes_[node];
   if (process.removed) return;
-  ++process.life;
+  ++process.incarnation;
   process.node = nullptr;
   process.ready = false;
   process.order_lanes.clear();
-  At(now_ + down, [this, node, life = process.life] {
-    if (processes_[node].life == life) StartNode(node);
+  At(now_ + down, [this, node, incarnation = process.incarnation] {
+    if (processes_[node].incarnation == incarnation) StartNode(node);
   });
 }
 
 void EmulatedSystem::RemoveNode(int node) {
   Process& process = processes_[node];
-  ++process.life;
+  ++process.incarnation;
   process.node = nullptr;
   process.ready = false;
   process.removed = true;
@@ -128,9 +128,9 @@
     process.stood_still_until = process.frozen_until;
     process.confirmed = false;
   }
-  At(process.frozen_until, [this, node, life = process.life] {
+  At(process.frozen_until, [this, node, incarnation = process.incarnation] {
     const Process& frozen = processes_[node];
-    if (frozen.life != life || now_ < frozen.frozen_until) return;
+    if (frozen.incarnation != incarnation || now_ < frozen.frozen_until) return;
     std::vector<dispatch::EventBody> held = std::move(processes_[node].held);
     processes_[node].held.clear();
     for (dispatch::EventBody& body : held) Reduce(node, std::move(body));
@@ -140,7 +140,7 @@
 void EmulatedSystem::StopNode(int node) {
   if (processes_[node].node == nullptr) return;
   processes_[node].stopping = true;
-  Deliver(node, processes_[node].life, dispatch::StopAsked());
+  Deliver(node, processes_[node].incarnation, dispatch::StopAsked());
 }
 
 int EmulatedSystem::leader() const {
@@ -151,9 +151,10 @@
   return -1;
 }
 
-void EmulatedSystem::Deliver(int node, int life, dispatch::EventBody body) {
+void EmulatedSystem::Deliver(int node, int incarnation,
+                             dispatch::EventBody body) {
   Process& process = processes_[node];
-  if (process.life != life || process.node == nullptr) return;
+  if (process.incarnation != incarnation || process.node == nullptr) return;
   if (now_ < process.frozen_until) {
     process.held.push_back(std::move(body));
     return;
@@ -165,7 +166,7 @@
   Process& process = processes_[node];
   if (process.node == nullptr) return;
   NoteConfirmed(&process, body);
-  const int life = process.life;
+  const int incarnation = process.incarnation;
   const auto began = std::chrono::steady_clock::now();
   const dispatch::Effects effects =
       process.node->Reduce({now_, kWallStart + now_.ms(), std::move(body)});
@@ -175,29 +176,30 @@
     std::visit([this, node](const auto& known) { Perform(node, known); },
                effect);
   }
-  if (processes_[node].life != life) return;
+  if (processes_[node].incarnation != incarnation) return;
   const TimePoint next = std::max(process.node->next_at(), now_ + Duration(1));
   const bool comes_before =
       process.woken_for > now_ && process.woken_for <= next;
   if (next >= dispatch::kNever || comes_before) return;
   process.woken_for = next;
-  At(next, [this, node, life, next] {
+  At(next, [this, node, incarnation, next] {
     Process& later = processes_[node];
-    if (later.life == life && later.woken_for == next) {
+    if (later.incarnation == incarnation && later.woken_for == next) {
       later.woken_for = TimePoint();
     }
-    Deliver(node, life, dispatch::Woken());
+    Deliver(node, incarnation, dispatch::Woken());
   });
 }
 
 // Runners.
 
-dispatch::RunnerInfo EmulatedSystem::DescribeRunner(int index, int life) const {
+dispatch::RunnerInfo EmulatedSystem::DescribeRunner(int index,
+                                                    int incarnation) const {
   dispatch::RunnerInfo info;
-  const int named = options_.keeps_ids ? 1 : life;
+  const int named = options_.keeps_ids ? 1 : incarnation;
   info.id = RunnerId(absl::StrCat("i-", index, "-", named));
   info.born = dispatch::StartTime(kWallStart + now_.ms() +
-                                  options_.birth_step.ms() * (life - 1));
+                                  options_.birth_step.ms() * (incarnation - 1));
   info.service = dispatch::ServiceId("compute");
   info.address = absl::StrCat("10.0.0.", index, ":80");
   info.room = options_.room;
@@ -207,10 +209,10 @@
   return info;
 }
 
-void EmulatedSystem::AddRunner(int index, int life) {
-  const dispatch::RunnerInfo info = DescribeRunner(index, life);
-  lives_[index] = life;
-  if (life > 1) enters_at_[info.id] = now_ + options_.entry_lag;
+void EmulatedSystem::AddRunner(int index, int incarnation) {
+  const dispatch::RunnerInfo info = DescribeRunner(index, incarnation);
+  lives_[index] = incarnation;
+  if (incarnation > 1) enters_at_[info.id] = now_ + options_.entry_lag;
   runner_at_[info.address] = info.id;
   runners_[info.id] = std::make_unique<EmulatedRunner>(
       info, options_.bounds,
@@ -247,12 +249,13 @@
   if (found == runners_.end()) return;
   int index = 0;
   std::sscanf(runner.value().c_str(), "i-%d-", &index);
-  const int life = lives_.at(index);
+  const int incarnation = lives_.at(index);
   std::unique_ptr<EmulatedRunner> gone = std::move(found->second);
   runners_.erase(found);
   runner_at_.erase(gone->info().address);
   gone = nullptr;
-  At(now_ + down, [this, index, life] { AddRunner(index, life + 1); });
+  At(now_ + down,
+     [this, index, incarnation] { AddRunner(index, incarnation + 1); });
 }
 
 void EmulatedSystem::DropIfCrashed(const std::string& address) {
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -197,7 +197,7 @@
   struct Process {
     std::unique_ptr<dispatch::Node> node;
     /// Counts lives; answers to an earlier one are dropped.
-    int life = 0;
+    int incarnation = 0;
     TimePoint frozen_until;
     std::vector<dispatch::EventBody> held;
     bool ready = false;
@@ -231,7 +231,7 @@
   bool Happens(double share) { return share > 0 && Chance() < share; }
 
   void StartNode(int node);
-  void Deliver(int node, int life, dispatch::EventBody body);
+  void Deliver(int node, int incarnation, dispatch::EventBody body);
   void Reduce(int node, dispatch::EventBody body);
   // Carries an effect of a node out, by its kind.
   void Perform(int node, const dispatch::CommitRows& commit);
@@ -244,8 +244,8 @@
   dispatch::RunnersListed ChangesOfRunners(const ListSeen& seen) const;
   static void Apply(const dispatch::RunnersListed& changes, ListSeen* seen);
   /// Answers once the list has changed, or when the wait is over.
-  void FollowRunners(int node, int life, const dispatch::ListRunners& effect,
-                     TimePoint until);
+  void FollowRunners(int node, int incarnation,
+                     const dispatch::ListRunners& effect, TimePoint until);
   void Perform(int node, const dispatch::LookAtRunner& look);
   void Perform(int node, const dispatch::StartRun& start);
   void Perform(int node, const dispatch::StopRun& stop);
@@ -270,14 +270,14 @@
   template <typename Answer>
   void CallStore(int node, Duration timeout, std::function<Answer()> carry_out,
                  Answer lost, Duration queued = Duration(0));
-  void Follow(int node, int life, const dispatch::AwaitChanges& effect,
+  void Follow(int node, int incarnation, const dispatch::AwaitChanges& effect,
               TimePoint until);
   /// The whole catalog, or the news that nothing changed.
   void AnswerCatalog(int node, Duration after, bool whole);
-  void AnswerLook(int node, int life, const dispatch::LookAtRunner& look,
+  void AnswerLook(int node, int incarnation, const dispatch::LookAtRunner& look,
                   TimePoint until, const dispatch::IncarnationId& waits_at);
   /// The look gets no answer.
-  void LoseLook(int node, int life, const dispatch::LookAtRunner& look);
+  void LoseLook(int node, int incarnation, const dispatch::LookAtRunner& look);
   /// A look that got no answer comes to whatever runner is there by now.
   void CarryOutLate(const dispatch::LookAtRunner& look);
   /// Tells the oracle of a look that a runner answered.
@@ -297,7 +297,8 @@
   void SendOrderNow(int node, const Order& order, Answer answer,
                     const CarryOut<Answer>& carry_out);
   /// Sends the next order of a lane, if there is one.
-  void FinishOrder(int node, int life, const dispatch::IncarnationId& runner);
+  void FinishOrder(int node, int incarnation,
+                   const dispatch::IncarnationId& runner);
   void TakeAnswer(const dispatch::AnswerCall& answer);
   void SendSubmit(const JobId& job);
   void SendCancel(const JobId& job);
@@ -305,8 +306,8 @@
                   std::function<void(const dispatch::AnswerCall*)> done);
 
   /// What a life of a runner says of itself when it begins.
-  dispatch::RunnerInfo DescribeRunner(int index, int life) const;
-  void AddRunner(int index, int life);
+  dispatch::RunnerInfo DescribeRunner(int index, int incarnation) const;
+  void AddRunner(int index, int incarnation);
   void RemoveRunner(const RunnerId& runner, Duration down);
   /// Removes the runner at that address if a task crashed it by now.
   void DropIfCrashed(const std::string& address);
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -38,7 +38,7 @@
     listed.runners.push_back(info);
     Context ctx = NewContext();
     fleet.Take(ctx, listed);
-    return fleet.Find(info.life());
+    return fleet.Find(info.incarnation());
   }
 
   /// A listed runner on which an earlier scheduler started a run.
@@ -175,7 +175,7 @@
   LONGS_EQUAL(FleetOptions().first_looks, effects.size());
   CHECK_TRUE(fleet.next_at() > now);
   const auto* look = std::get_if<LookAtRunner>(&effects.front());
-  Runner* answered = fleet.Find(look->target.life);
+  Runner* answered = fleet.Find(look->target.incarnation);
   answered->look_in_flight = false;
   answered->Heard(now, 1000);
   answered->next_look_at = now + Duration(500);
@@ -281,7 +281,7 @@
   }
   Context ctx = NewContext();
   fleet.Take(ctx, listed);
-  const IncarnationId last = listed.runners.back().life();
+  const IncarnationId last = listed.runners.back().incarnation();
   bool looked_at_last = false;
   constexpr int kRounds = 30;
   for (int round = 0; round < kRounds; ++round) {
@@ -290,7 +290,8 @@
     // So long takes a look without an answer.
     now = now + Duration(500);
     for (const Effect& effect : effects) {
-      const IncarnationId id = std::get<LookAtRunner>(effect).target.life;
+      const IncarnationId id =
+          std::get<LookAtRunner>(effect).target.incarnation;
       looked_at_last = looked_at_last || id == last;
       LoseLook(fleet.Find(id));
     }
@@ -345,7 +346,8 @@
   const auto look = Look();
   CHECK_TRUE(look.has_value());
   // The list alone ends no life.
-  CHECK_TRUE(look->target.life == IncarnationId(RunnerId("i-1"), StartTime()));
+  CHECK_TRUE(look->target.incarnation ==
+             IncarnationId(RunnerId("i-1"), StartTime()));
   CHECK_TRUE(runner->reachable());
   // Once is enough: the entry may be old.
   Context again = NewContext();
@@ -368,7 +370,8 @@
       TaskName{JobId("00000000000000aa"), 0, 0, 0}, 1);
   before->NotePace(8, JobId("00000000000000aa"));
   const Runner* next = fleet.BeginLife(before, StartTime(1700), now);
-  CHECK_TRUE(next->life() == IncarnationId(RunnerId("i-1"), StartTime(1700)));
+  CHECK_TRUE(next->incarnation() ==
+             IncarnationId(RunnerId("i-1"), StartTime(1700)));
   LONGS_EQUAL(2, next->lives());
   CHECK_TRUE(fleet.Find(IncarnationId(RunnerId("i-1"), StartTime())) ==
              nullptr);
--- a/test/promise-oracle-test.cc
+++ b/test/promise-oracle-test.cc
@@ -43,7 +43,7 @@
   void Look(std::int64_t known, const std::vector<ListedEnd>& ends,
             bool stands = true) {
     dispatch::LookAtRunner look;
-    look.target.life.runner = runner;
+    look.target.incarnation.runner = runner;
     look.acknowledged_end = known;
     dispatch::RunnerLooked answer;
     answer.ended = ends;
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -26,7 +26,7 @@
                       Duration lasted = Duration(10)) {
     RunLoss loss;
     loss.run = run;
-    loss.life.runner = RunnerId("i-" + std::to_string(run));
+    loss.incarnation.runner = RunnerId("i-" + std::to_string(run));
     loss.address = "10.0.0." + std::to_string(run) + ":80";
     loss.lasted = lasted;
     loss.crashed = crashed;
@@ -101,11 +101,11 @@
   book.NoteOpen(task, loss, StartTime(), TimePoint(1000));
   book.NoteOpen(task, loss, StartTime(), TimePoint(5000));
   LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-9")).size());
-  LONGS_EQUAL(0, book.LostAt(loss.address, loss.life).size());
+  LONGS_EQUAL(0, book.LostAt(loss.address, loss.incarnation).size());
   LONGS_EQUAL(0, book.LostAt("", Life("i-9")).size());
   LONGS_EQUAL(0, book.Overdue(TimePoint(20999)).size());
   LONGS_EQUAL(1, book.Overdue(TimePoint(21000)).size());
-  LONGS_EQUAL(1, book.Close(loss.life).size());
+  LONGS_EQUAL(1, book.Close(loss.incarnation).size());
   CHECK_FALSE(book.HasOpen());
 }
 
@@ -141,7 +141,7 @@
   const std::vector<RunLoss>& losses = read.Find(task)->losses;
   LONGS_EQUAL(1, losses.size());
   LONGS_EQUAL(3, losses[0].run);
-  STRCMP_EQUAL("i-3", losses[0].life.runner.value().c_str());
+  STRCMP_EQUAL("i-3", losses[0].incarnation.runner.value().c_str());
   STRCMP_EQUAL("10.0.0.3:80", losses[0].address.c_str());
   LONGS_EQUAL(17, losses[0].lasted.ms());
   CHECK_TRUE(losses[0].crashed && losses[0].suspicious);
@@ -149,20 +149,20 @@
 
 TEST(RunLoss, NextLifeAtTheAddressTellsThatTheOneBeforeIsOver) {
   RunLoss loss = Loss(1, false, true);
-  loss.life.born = StartTime(100);
+  loss.incarnation.born = StartTime(100);
   book.NoteOpen(task, loss, StartTime(100), TimePoint(1000));
-  LONGS_EQUAL(0, book.LostAt(loss.address, loss.life).size());
+  LONGS_EQUAL(0, book.LostAt(loss.address, loss.incarnation).size());
   LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
 }
 
 // An entry may lag behind what the runner itself has answered.
 TEST(RunLoss, EntryOfAnEarlierLifeTellsNothingOfALaterOne) {
   RunLoss loss = Loss(1, false, true);
-  loss.life.born = StartTime(100);
+  loss.incarnation.born = StartTime(100);
   book.NoteOpen(task, loss, StartTime(50), TimePoint(1000));
   LONGS_EQUAL(0, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
   LONGS_EQUAL(1, book.LostBefore(Life("i-1", StartTime(200))).size());
-  LONGS_EQUAL(0, book.LostBefore(loss.life).size());
+  LONGS_EQUAL(0, book.LostBefore(loss.incarnation).size());
 }
 
 TEST(RunLoss, LivesOfARunAndOfALossAreStored) {
@@ -172,12 +172,12 @@
   Job job(spec);
   job.Assign(task, 3, Life("i-3", StartTime(1700)), TimePoint(0));
   RunLoss loss = Loss(3, true, true);
-  loss.life.born = StartTime(1600);
+  loss.incarnation.born = StartTime(1600);
   CHECK_TRUE(job.NoteLoss(task, loss));
   Job read(spec);
   CHECK_TRUE(DecodeProgress(EncodeProgress(job), &read).ok());
-  CHECK_TRUE(read.Find(task)->life == Life("i-3", StartTime(1700)));
-  CHECK_TRUE(read.Find(task)->losses[0].life == loss.life);
+  CHECK_TRUE(read.Find(task)->incarnation == Life("i-3", StartTime(1700)));
+  CHECK_TRUE(read.Find(task)->losses[0].incarnation == loss.incarnation);
 }
 
 // The version before reads the first seven of a task and the first six of a
@@ -204,7 +204,7 @@
   CHECK_TRUE(DecodeProgress(row, &read).ok());
   LONGS_EQUAL(4, read.Find(task)->run);
   LONGS_EQUAL(0, read.Find(task)->losses.size());
-  CHECK_TRUE(read.Find(task)->life == Life("i-4"));
+  CHECK_TRUE(read.Find(task)->incarnation == Life("i-4"));
 }
 
 }  // namespace limeledge::dispatch
--- a/test/runner-client-test.cc
+++ b/test/runner-client-test.cc
@@ -51,7 +51,7 @@
 
   OrderOutcome Start() {
     dispatch::StartRun start;
-    start.target.life.runner = RunnerId("i-1");
+    start.target.incarnation.runner = RunnerId("i-1");
     start.target.address = server->address();
     start.task.job = JobId("00000000000000aa");
     start.run = 1;
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -136,13 +136,14 @@
 // Advice is asked for by ids, and its tickets hold for one life each.
 TEST(Wire, TicketsAreThoseOfTheLivesThatWereAskedAbout) {
   dispatch::AdviceAnswered answer;
-  const dispatch::IncarnationId life(RunnerId("i-1"), dispatch::StartTime(70));
-  answer.asked = {life};
+  const dispatch::IncarnationId incarnation(RunnerId("i-1"),
+                                            dispatch::StartTime(70));
+  answer.asked = {incarnation};
   CHECK_TRUE(DecodeAdvice(R"({"good":[["i-1","t"],["i-2","u"]],"valid_ms":9})",
                           &answer)
                  .ok());
   LONGS_EQUAL(1, answer.tickets.size());
-  STRCMP_EQUAL("t", answer.tickets.at(life).c_str());
+  STRCMP_EQUAL("t", answer.tickets.at(incarnation).c_str());
 }
 
 TEST(Wire, TransactionNamesRowsOfOnePart) {
