--- a/src/dispatch/catalog_follower.cc
+++ b/src/dispatch/catalog_follower.cc
@@ -25,7 +25,7 @@
   }
 }
 
-void CatalogFollower::Take(Context& ctx, const CatalogAnswered& answer) {
+void CatalogFollower::Handle(Context& ctx, const CatalogAnswered& answer) {
   under_way_ = false;
   next_at_ = ctx.now();
   const bool answered = answer.outcome == StoreOutcome::kDone;
--- a/src/dispatch/catalog_follower.h
+++ b/src/dispatch/catalog_follower.h
@@ -40,7 +40,7 @@
   /// Sends the next call when it is due.
   void Work(Context& ctx);
   TimePoint next_at() const { return under_way_ ? kNever : next_at_; }
-  void Take(Context& ctx, const CatalogAnswered& answer);
+  void Handle(Context& ctx, const CatalogAnswered& answer);
 
   /// Null before the first version.
   const Catalog* catalog() const {
--- a/src/dispatch/desk.cc
+++ b/src/dispatch/desk.cc
@@ -118,8 +118,8 @@
   return nullptr;
 }
 
-void Desk::Take(Context& ctx, const CallArrived& call, const Catalog* catalog,
-                TimePoint catalog_confirmed, bool store_answers) {
+void Desk::Handle(Context& ctx, const CallArrived& call, const Catalog* catalog,
+                  TimePoint catalog_confirmed, bool store_answers) {
   if (catalog == nullptr) {
     Answer(ctx, call, CallResult::kNotTaken, "no configuration yet");
     return;
@@ -232,8 +232,8 @@
   calls_[pending.read.ticket] = std::move(pending);
 }
 
-void Desk::Take(Context& ctx, const TransactionAnswered& answer,
-                bool store_answers) {
+void Desk::Handle(Context& ctx, const TransactionAnswered& answer,
+                  bool store_answers) {
   auto entry = calls_.extract(answer.ticket);
   Pending pending = std::move(entry.mapped());
   const bool submit = pending.stage == Stage::kSubmit;
@@ -292,7 +292,8 @@
          "the job's row is unreadable");
 }
 
-void Desk::Take(Context& ctx, const RowsAnswered& answer, bool store_answers) {
+void Desk::Handle(Context& ctx, const RowsAnswered& answer,
+                  bool store_answers) {
   auto entry = calls_.extract(answer.ticket);
   Pending pending = std::move(entry.mapped());
   const bool lost = answer.outcome == StoreOutcome::kUnknown;
--- a/src/dispatch/desk.h
+++ b/src/dispatch/desk.h
@@ -44,16 +44,16 @@
 
   /// Begins a call, or answers it at once. `store_answers`: false when the
   /// newest call of this node to the store failed.
-  void Take(Context& ctx, const CallArrived& call, const Catalog* catalog,
-            TimePoint catalog_confirmed, bool store_answers);
+  void Handle(Context& ctx, const CallArrived& call, const Catalog* catalog,
+              TimePoint catalog_confirmed, bool store_answers);
 
   bool Owns(Ticket ticket) const { return calls_.count(ticket) != 0; }
   /// `store_answers` as above: a call that was sent twice without an answer
   /// goes on only while others are answered. Callers that were held to the end
   /// of their time by a store that is away could not come back any more.
-  void Take(Context& ctx, const TransactionAnswered& answer,
-            bool store_answers);
-  void Take(Context& ctx, const RowsAnswered& answer, bool store_answers);
+  void Handle(Context& ctx, const TransactionAnswered& answer,
+              bool store_answers);
+  void Handle(Context& ctx, const RowsAnswered& answer, bool store_answers);
 
   /// Takes in why the store does not answer, as far as that is known.
   void NoteStoreLoss(StoreLoss loss) { loss_ = loss; }
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -91,7 +91,7 @@
       now + (listed_once_ ? options_.list_interval : options_.first_list_pause);
 }
 
-void Fleet::Take(Context& ctx, const RunnersListed& answer) {
+void Fleet::Handle(Context& ctx, const RunnersListed& answer) {
   list_under_way_ = false;
   const bool is_old = std::exchange(list_is_old_, false);
   // An unreadable list says nothing of any runner.
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -126,7 +126,7 @@
   /// `patience` says.
   void List(Context& ctx, const StorePatience& patience);
   /// Takes in the list; one that could not be read changes nothing.
-  void Take(Context& ctx, const RunnersListed& answer);
+  void Handle(Context& ctx, const RunnersListed& answer);
   /// True once a list was read.
   bool listed_once() const { return listed_once_; }
   /// When `List` has something to do next.
--- a/src/dispatch/job_book.cc
+++ b/src/dispatch/job_book.cc
@@ -83,7 +83,7 @@
   if (follows) Follow(ctx);
 }
 
-std::vector<JobId> JobBook::Take(Context& ctx, const RowsAnswered& answer) {
+std::vector<JobId> JobBook::Handle(Context& ctx, const RowsAnswered& answer) {
   std::vector<JobId> changed;
   const auto reading = std::find_if(
       readings_.begin(), readings_.end(),
@@ -137,7 +137,8 @@
   return std::exchange(orphans_, {});
 }
 
-std::vector<JobId> JobBook::Take(Context& ctx, const ChangesAnswered& answer) {
+std::vector<JobId> JobBook::Handle(Context& ctx,
+                                   const ChangesAnswered& answer) {
   follow_under_way_ = false;
   std::vector<JobId> changed;
   if (answer.outcome == StoreOutcome::kHistoryGone) {
--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -47,8 +47,8 @@
   ctx.Emit(std::move(commit));
 }
 
-void JobCleaner::Take(Context& ctx, const TransactionAnswered& answer,
-                      JobBook* book, StateWriter* writer) {
+void JobCleaner::Handle(Context& ctx, const TransactionAnswered& answer,
+                        JobBook* book, StateWriter* writer) {
   under_way_ = false;
   if (answer.outcome != StoreOutcome::kDone) {
     // Removing what is gone already does no harm: all are tried again.
--- a/src/dispatch/job_cleaner.h
+++ b/src/dispatch/job_cleaner.h
@@ -46,8 +46,8 @@
 
   bool Owns(Ticket ticket) const { return under_way_ && call_ == ticket; }
   /// Takes in the answer of the removal under way.
-  void Take(Context& ctx, const TransactionAnswered& answer, JobBook* book,
-            StateWriter* writer);
+  void Handle(Context& ctx, const TransactionAnswered& answer, JobBook* book,
+              StateWriter* writer);
 
  private:
   /// Jobs of one part, the one with the job that is final for longest.
--- a/src/dispatch/leadership.cc
+++ b/src/dispatch/leadership.cc
@@ -52,7 +52,7 @@
                     after_key, 1, patience_->For(misses_)});
 }
 
-void Leadership::Take(Context& ctx, const RowsAnswered& answer) {
+void Leadership::Handle(Context& ctx, const RowsAnswered& answer) {
   Wait(ctx.now(), options_.poll_interval);
   const bool answered = answer.outcome == StoreOutcome::kDone;
   misses_ = answered ? 0 : misses_ + 1;
@@ -122,7 +122,7 @@
                       patience_->For()});
 }
 
-std::optional<Leadership::Claimed> Leadership::Take(
+std::optional<Leadership::Claimed> Leadership::Handle(
     Context& ctx, const TransactionAnswered& answer) {
   // A lost answer shows at the next reading.
   Wait(ctx.now(), options_.poll_interval);
--- a/src/dispatch/leadership.h
+++ b/src/dispatch/leadership.h
@@ -61,10 +61,11 @@
     /// When the claim was sent: the lease counts from then.
     TimePoint sent_at;
   };
-  void Take(Context& ctx, const RowsAnswered& answer);
+  void Handle(Context& ctx, const RowsAnswered& answer);
   /// Takes in the answer to a claim; returns the lease if it is now this
   /// node's.
-  std::optional<Claimed> Take(Context& ctx, const TransactionAnswered& answer);
+  std::optional<Claimed> Handle(Context& ctx,
+                                const TransactionAnswered& answer);
   /// True if `ticket` is that of the call under way.
   bool Owns(Ticket ticket) const { return call_ == ticket; }
 
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -124,71 +124,71 @@
 void Node::Handle(Context& ctx, const TransactionAnswered& event) {
   NoteStoreAnswer(event.ticket, event.outcome);
   if (desk_.Owns(event.ticket)) {
-    desk_.Take(ctx, event, StoreAnswers());
+    desk_.Handle(ctx, event, StoreAnswers());
   } else if (scheduler_ != nullptr && scheduler_->Owns(event.ticket)) {
-    Obey(ctx, scheduler_->Take(ctx, event));
+    Obey(ctx, scheduler_->Handle(ctx, event));
   } else if (scheduler_ == nullptr && leadership_.Owns(event.ticket)) {
-    const auto claimed = leadership_.Take(ctx, event);
+    const auto claimed = leadership_.Handle(ctx, event);
     if (claimed.has_value()) Lead(ctx, *claimed);
   } else if (peers_.Owns(event.ticket)) {
-    peers_.Take(ctx, event);
+    peers_.Handle(ctx, event);
   }
 }
 
 void Node::Handle(Context& ctx, const RowsAnswered& event) {
   NoteStoreAnswer(event.ticket, event.outcome);
   if (desk_.Owns(event.ticket)) {
-    desk_.Take(ctx, event, StoreAnswers());
+    desk_.Handle(ctx, event, StoreAnswers());
   } else if (scheduler_ != nullptr && scheduler_->Owns(event.ticket)) {
-    scheduler_->Take(ctx, event);
+    scheduler_->Handle(ctx, event);
   } else if (scheduler_ == nullptr && leadership_.Owns(event.ticket)) {
     const bool answered = leadership_.store_answers();
-    leadership_.Take(ctx, event);
+    leadership_.Handle(ctx, event);
     if (answered != leadership_.store_answers()) {
       ctx.Log(answered ? LogId::kStoreLost : LogId::kStoreBack, {});
     }
   } else if (peers_.Owns(event.ticket)) {
-    peers_.Take(ctx, event);
+    peers_.Handle(ctx, event);
   }
 }
 
 void Node::Handle(Context& ctx, const ChangesAnswered& event) {
   if (scheduler_ != nullptr && scheduler_->Owns(event.ticket)) {
-    scheduler_->Take(ctx, event);
+    scheduler_->Handle(ctx, event);
   }
 }
 
 void Node::Handle(Context& ctx, const CatalogAnswered& event) {
-  catalog_.Take(ctx, event);
+  catalog_.Handle(ctx, event);
 }
 
 void Node::Handle(Context& ctx, const RunnersListed& event) {
-  if (scheduler_ != nullptr) scheduler_->Take(ctx, event);
+  if (scheduler_ != nullptr) scheduler_->Handle(ctx, event);
 }
 
 void Node::Handle(Context& ctx, const RunnerLooked& event) {
-  if (scheduler_ != nullptr) Obey(ctx, scheduler_->Take(ctx, event));
+  if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
 }
 
 void Node::Handle(Context& ctx, const StartAnswered& event) {
-  if (scheduler_ != nullptr) Obey(ctx, scheduler_->Take(ctx, event));
+  if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
 }
 
 void Node::Handle(Context& ctx, const StopAnswered& event) {
-  if (scheduler_ != nullptr) Obey(ctx, scheduler_->Take(ctx, event));
+  if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
 }
 
 void Node::Handle(Context& ctx, const AdviceAnswered& event) {
-  if (scheduler_ != nullptr) scheduler_->Take(ctx, event);
+  if (scheduler_ != nullptr) scheduler_->Handle(ctx, event);
 }
 
 void Node::Handle(Context& ctx, const PeerAnswered& event) {
-  peers_.Take(ctx, event);
+  peers_.Handle(ctx, event);
 }
 
 void Node::Handle(Context& ctx, const CallArrived& event) {
-  desk_.Take(ctx, event, catalog_.catalog(), catalog_.confirmed_at(),
-             StoreAnswers());
+  desk_.Handle(ctx, event, catalog_.catalog(), catalog_.confirmed_at(),
+               StoreAnswers());
 }
 
 void Node::Handle(Context& ctx, const StopAsked&) {
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -98,7 +98,7 @@
   ctx.Emit(std::move(read));
 }
 
-void PeerCheck::Take(Context& ctx, const TransactionAnswered& answer) {
+void PeerCheck::Handle(Context& ctx, const TransactionAnswered& answer) {
   call_under_way_ = false;
   const bool done = answer.outcome == StoreOutcome::kDone;
   if (done) stale_.clear();
@@ -106,7 +106,7 @@
       ctx.now() + (done ? options_.renew_interval : options_.retry_pause);
 }
 
-void PeerCheck::Take(Context& ctx, const RowsAnswered& answer) {
+void PeerCheck::Handle(Context& ctx, const RowsAnswered& answer) {
   call_under_way_ = false;
   const bool done = answer.outcome == StoreOutcome::kDone;
   read_at_ = ctx.now() + (done ? options_.list_interval : options_.retry_pause);
@@ -144,7 +144,7 @@
   round_.asked = static_cast<int>(count);
 }
 
-void PeerCheck::Take(Context& ctx, const PeerAnswered& answer) {
+void PeerCheck::Handle(Context& ctx, const PeerAnswered& answer) {
   if (!lost_ || asked_.erase(answer.address) == 0) return;
   if (!answer.answered) {
     ++round_.silent;
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -69,11 +69,11 @@
 
   bool Owns(Ticket ticket) const { return call_under_way_ && call_ == ticket; }
   /// Takes in the peers that were read.
-  void Take(Context& ctx, const RowsAnswered& answer);
+  void Handle(Context& ctx, const RowsAnswered& answer);
   /// Takes in the end of a renewal.
-  void Take(Context& ctx, const TransactionAnswered& answer);
+  void Handle(Context& ctx, const TransactionAnswered& answer);
   /// Takes in what a peer tells of the store.
-  void Take(Context& ctx, const PeerAnswered& answer);
+  void Handle(Context& ctx, const PeerAnswered& answer);
 
   StoreLoss loss() const { return loss_; }
 
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -56,25 +56,25 @@
   writer_.Release();
 }
 
-Scheduler::Verdict Scheduler::Take(Context& ctx,
-                                   const TransactionAnswered& answer) {
+Scheduler::Verdict Scheduler::Handle(Context& ctx,
+                                     const TransactionAnswered& answer) {
   if (!cleaner_.Owns(answer.ticket)) {
-    return VerdictOf(writer_.Take(ctx, answer));
+    return VerdictOf(writer_.Handle(ctx, answer));
   }
-  cleaner_.Take(ctx, answer, &book_, &writer_);
+  cleaner_.Handle(ctx, answer, &book_, &writer_);
   return Verdict::kGoesOn;
 }
 
-void Scheduler::Take(Context& ctx, const RowsAnswered& answer) {
-  TakeChanges(ctx, book_.Take(ctx, answer));
+void Scheduler::Handle(Context& ctx, const RowsAnswered& answer) {
+  TakeChanges(ctx, book_.Handle(ctx, answer));
 }
 
-void Scheduler::Take(Context& ctx, const ChangesAnswered& answer) {
-  TakeChanges(ctx, book_.Take(ctx, answer));
+void Scheduler::Handle(Context& ctx, const ChangesAnswered& answer) {
+  TakeChanges(ctx, book_.Handle(ctx, answer));
 }
 
-void Scheduler::Take(Context& ctx, const RunnersListed& answer) {
-  fleet_.Take(ctx, answer);
+void Scheduler::Handle(Context& ctx, const RunnersListed& answer) {
+  fleet_.Handle(ctx, answer);
   TakeOtherLives(ctx, answer);
   // A room may have shrunk under what waits to start there.
   for (const RunnerInfo& info : answer.runners) {
@@ -178,8 +178,8 @@
                [text = std::move(text)] { return text; });
 }
 
-void Scheduler::Take(Context& ctx, const AdviceAnswered& answer) {
-  advice_.Take(ctx, answer);
+void Scheduler::Handle(Context& ctx, const AdviceAnswered& answer) {
+  advice_.Handle(ctx, answer);
   plan_due_ = true;
 }
 
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -146,14 +146,14 @@
 
   /// True if the answer belongs to a call of this scheduler.
   bool Owns(Ticket ticket) const;
-  Verdict Take(Context& ctx, const TransactionAnswered& answer);
-  void Take(Context& ctx, const RowsAnswered& answer);
-  void Take(Context& ctx, const ChangesAnswered& answer);
-  void Take(Context& ctx, const RunnersListed& answer);
-  Verdict Take(Context& ctx, const RunnerLooked& answer);
-  Verdict Take(Context& ctx, const StartAnswered& answer);
-  Verdict Take(Context& ctx, const StopAnswered& answer);
-  void Take(Context& ctx, const AdviceAnswered& answer);
+  Verdict Handle(Context& ctx, const TransactionAnswered& answer);
+  void Handle(Context& ctx, const RowsAnswered& answer);
+  void Handle(Context& ctx, const ChangesAnswered& answer);
+  void Handle(Context& ctx, const RunnersListed& answer);
+  Verdict Handle(Context& ctx, const RunnerLooked& answer);
+  Verdict Handle(Context& ctx, const StartAnswered& answer);
+  Verdict Handle(Context& ctx, const StopAnswered& answer);
+  void Handle(Context& ctx, const AdviceAnswered& answer);
 
   /// The process stood still for `time`: another may schedule since. Nothing is
   /// sent to runners, and nothing else written, until the store has confirmed
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -49,7 +49,8 @@
   return "";
 }
 
-Scheduler::Verdict Scheduler::Take(Context& ctx, const StartAnswered& answer) {
+Scheduler::Verdict Scheduler::Handle(Context& ctx,
+                                     const StartAnswered& answer) {
   if (answer.epoch != writer_.epoch()) return Verdict::kGoesOn;
   if (answer.outcome == OrderOutcome::kFenced) return Verdict::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
@@ -113,7 +114,7 @@
   StopGang(ctx, answer.task);
 }
 
-Scheduler::Verdict Scheduler::Take(Context& ctx, const StopAnswered& answer) {
+Scheduler::Verdict Scheduler::Handle(Context& ctx, const StopAnswered& answer) {
   if (answer.epoch != writer_.epoch()) return Verdict::kGoesOn;
   if (answer.outcome == OrderOutcome::kFenced) return Verdict::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
@@ -206,7 +207,7 @@
            runner->LeftAsKnown() ? RunnerEnd::kLeft : RunnerEnd::kUnknown);
 }
 
-Scheduler::Verdict Scheduler::Take(Context& ctx, const RunnerLooked& answer) {
+Scheduler::Verdict Scheduler::Handle(Context& ctx, const RunnerLooked& answer) {
   if (answer.epoch != writer_.epoch()) return Verdict::kGoesOn;
   if (answer.outcome == OrderOutcome::kFenced) return Verdict::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
--- a/src/dispatch/state_writer.cc
+++ b/src/dispatch/state_writer.cc
@@ -138,8 +138,8 @@
   sent_.clear();
 }
 
-StateWriter::Verdict StateWriter::Take(Context& ctx,
-                                       const TransactionAnswered& answer) {
+StateWriter::Verdict StateWriter::Handle(Context& ctx,
+                                         const TransactionAnswered& answer) {
   switch (answer.outcome) {
     case StoreOutcome::kDone:
       Stored(ctx, answer.revision);
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -33,7 +33,7 @@
     call.path = std::string(emulator::PrefixOf(1)) + "00000000000000aa";
     call.spec.steps.emplace_back();
     Context ctx = NewContext();
-    desk.Take(ctx, call, &catalog, now, store_answers);
+    desk.Handle(ctx, call, &catalog, now, store_answers);
   }
 
   /// The newest effect of a kind; null if there is none.
@@ -53,7 +53,7 @@
     lost.ticket = Newest<CommitRows>()->ticket;
     now = now + Duration(300);
     Context ctx = NewContext();
-    desk.Take(ctx, lost, store_answers);
+    desk.Handle(ctx, lost, store_answers);
   }
 
   /// The same for a reading.
@@ -62,7 +62,7 @@
     lost.ticket = Newest<ReadRows>()->ticket;
     now = now + Duration(300);
     Context ctx = NewContext();
-    desk.Take(ctx, lost, store_answers);
+    desk.Handle(ctx, lost, store_answers);
   }
 };
 
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -37,7 +37,7 @@
     info.room = {64000, 262144, 8};
     listed.runners.push_back(info);
     Context ctx = NewContext();
-    fleet.Take(ctx, listed);
+    fleet.Handle(ctx, listed);
     return fleet.Find(info.incarnation());
   }
 
@@ -52,7 +52,7 @@
     RunnersListed none;
     none.ok = true;
     Context ctx = NewContext();
-    fleet.Take(ctx, none);
+    fleet.Handle(ctx, none);
   }
 
   void AddRun(Runner * runner) {
@@ -73,7 +73,7 @@
   /// The reading under way came to nothing.
   void LoseList() {
     Context ctx = NewContext();
-    fleet.Take(ctx, RunnersListed());
+    fleet.Handle(ctx, RunnersListed());
   }
 
   /// The look at the runner got no answer; the next one is due after a pause.
@@ -169,7 +169,7 @@
     listed.runners.push_back(info);
   }
   Context ctx = NewContext();
-  fleet.Take(ctx, listed);
+  fleet.Handle(ctx, listed);
   Context first = NewContext();
   fleet.Look(first, Epoch(1), true, true);
   LONGS_EQUAL(FleetOptions().first_looks, effects.size());
@@ -249,7 +249,7 @@
 TEST(Fleet, UnreadableListSaysNothingOfRunners) {
   Runner* runner = AddRunner("i-1");
   Context ctx = NewContext();
-  fleet.Take(ctx, RunnersListed());
+  fleet.Handle(ctx, RunnersListed());
   CHECK_TRUE(runner->listed());
 }
 
@@ -258,10 +258,10 @@
   listed.ok = true;
   listed.unreadable = {RunnerId("i-9")};
   Context first = NewContext();
-  fleet.Take(first, listed);
+  fleet.Handle(first, listed);
   LONGS_EQUAL(1, effects.size());
   Context second = NewContext();
-  fleet.Take(second, listed);
+  fleet.Handle(second, listed);
   LONGS_EQUAL(0, effects.size());
 }
 
@@ -280,7 +280,7 @@
     listed.runners.push_back(info);
   }
   Context ctx = NewContext();
-  fleet.Take(ctx, listed);
+  fleet.Handle(ctx, listed);
   const IncarnationId last = listed.runners.back().incarnation();
   bool looked_at_last = false;
   constexpr int kRounds = 30;
@@ -342,7 +342,7 @@
   listed.runners = {runner->info()};
   listed.runners.front().born = StartTime(1700);
   Context ctx = NewContext();
-  fleet.Take(ctx, listed);
+  fleet.Handle(ctx, listed);
   const auto look = Look();
   CHECK_TRUE(look.has_value());
   // The list alone ends no life.
@@ -351,7 +351,7 @@
   CHECK_TRUE(runner->reachable());
   // Once is enough: the entry may be old.
   Context again = NewContext();
-  fleet.Take(again, listed);
+  fleet.Handle(again, listed);
   CHECK_FALSE(Look().has_value());
 }
 
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -41,7 +41,7 @@
     answer.rows = rows;
     answer.newest = Revision(newest);
     Context ctx(now, 0, &tickets, &effects);
-    book.Take(ctx, answer);
+    book.Handle(ctx, answer);
   }
 
   /// The following call tells of changes.
@@ -53,7 +53,7 @@
     answer.rows = rows;
     answer.newest = Revision(newest);
     Context ctx(now, 0, &tickets, &effects);
-    book.Take(ctx, answer);
+    book.Handle(ctx, answer);
   }
 
   void Refuse(const Effect& read) {
@@ -61,7 +61,7 @@
     answer.outcome = StoreOutcome::kNotDone;
     answer.ticket = std::get<ReadRows>(read).ticket;
     Context ctx(now, 0, &tickets, &effects);
-    book.Take(ctx, answer);
+    book.Handle(ctx, answer);
   }
 
   /// The following call's connection fell silent.
@@ -70,7 +70,7 @@
     answer.outcome = StoreOutcome::kUnknown;
     answer.ticket = follow.ticket;
     Context ctx(now, 0, &tickets, &effects);
-    book.Take(ctx, answer);
+    book.Handle(ctx, answer);
   }
 
   static Row MakeRow(const char* table, const std::string& key,
--- a/test/leadership-test.cc
+++ b/test/leadership-test.cc
@@ -51,7 +51,7 @@
     row.revision = Revision(revision);
     answer.rows.push_back(std::move(row));
     effects.clear();
-    follower.Take(ctx, answer);
+    follower.Handle(ctx, answer);
     for (const Effect& effect : effects) {
       if (const auto* claim = std::get_if<CommitRows>(&effect)) return claim;
     }
@@ -109,7 +109,7 @@
   done.outcome = StoreOutcome::kDone;
   done.revision = Revision(6);
   Context ctx(now, 0, &tickets, &effects);
-  CHECK_TRUE(follower.Take(ctx, done).has_value());
+  CHECK_TRUE(follower.Handle(ctx, done).has_value());
   follower.Reset(now);
   record.holder = "e1/2";
   POINTERS_EQUAL(nullptr, Read(record, 7));
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -55,7 +55,7 @@
       empty.ticket = std::get<dispatch::ReadRows>(effect).ticket;
       CHECK_TRUE(book.Owns(empty.ticket));
       CHECK_FALSE(book.loaded());
-      book.Take(ctx, empty);
+      book.Handle(ctx, empty);
     }
     return asked.size();
   };
@@ -67,7 +67,7 @@
   book.Work(ctx);
   dispatch::ChangesAnswered gone;
   gone.outcome = dispatch::StoreOutcome::kHistoryGone;
-  book.Take(ctx, gone);
+  book.Handle(ctx, gone);
   CHECK_TRUE(book.loaded());
 }
 
@@ -176,7 +176,7 @@
     rows.ticket = std::get<dispatch::ReadRows>(read).ticket;
     rows.newest = Revision(newest);
     dispatch::Context ctx(now, 0, &tickets, &effects);
-    book.Take(ctx, rows);
+    book.Handle(ctx, rows);
   };
   answer(work().front(), 10);
   const dispatch::Effects reads = work();
@@ -190,7 +190,7 @@
   changes.ticket = first.ticket;
   changes.newest = Revision(120);
   dispatch::Context ctx(now, 0, &tickets, &effects);
-  book.Take(ctx, changes);
+  book.Handle(ctx, changes);
   const auto second = std::get<dispatch::AwaitChanges>(work().front());
   LONGS_EQUAL(50, second.after.value());
 }
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -49,7 +49,7 @@
     renewed.ticket = std::get<CommitRows>(effects.front()).ticket;
     renewed.outcome = StoreOutcome::kDone;
     Context ctx = NewContext();
-    check.Take(ctx, renewed);
+    check.Handle(ctx, renewed);
   }
 
   /// The reading that is due finds rows that were just renewed.
@@ -72,7 +72,7 @@
       rows.rows.push_back(row);
     }
     Context ctx = NewContext();
-    check.Take(ctx, rows);
+    check.Handle(ctx, rows);
   }
 
   std::vector<std::string> Asked() {
@@ -91,7 +91,7 @@
       PeerAnswered answer = word;
       answer.address = address;
       Context ctx = NewContext();
-      check.Take(ctx, answer);
+      check.Handle(ctx, answer);
     }
     now = now + PeerCheckOptions().ask_interval;
   }
@@ -167,7 +167,7 @@
   PeerAnswered late = Word(true, Duration(0));
   late.address = early;
   Context ctx = NewContext();
-  check.Take(ctx, late);
+  check.Handle(ctx, late);
   CHECK_TRUE(check.loss() == StoreLoss::kUnknown);
 }
 
--- a/test/runner-list-test.cc
+++ b/test/runner-list-test.cc
@@ -54,7 +54,7 @@
     answer.ok = ok;
     effects.clear();
     Context ctx(now, 0, &tickets, &effects);
-    fleet.Take(ctx, answer);
+    fleet.Handle(ctx, answer);
   }
 
   static RunnersListed Changes() {
--- a/test/state-writer-test.cc
+++ b/test/state-writer-test.cc
@@ -51,7 +51,7 @@
     answer.rows = std::move(rows);
     Effects none;
     Context ctx(now, 0, &tickets, &none);
-    return writer.Take(ctx, answer);
+    return writer.Handle(ctx, answer);
   }
 
   /// The leader's row as that write left it.
