--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -130,7 +130,7 @@
   dispatch::RunnerInfo info;
   info.id = RunnerId(
       absl::StrCat("i-", index, "-", keeps_ids_ ? 1 : place.incarnation));
-  info.born = BirthOf(place.incarnation);
+  info.start_time = BirthOf(place.incarnation);
   info.service = dispatch::ServiceId(kService);
   info.hall = HallId("soak");
   info.room = kRoom;
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -131,7 +131,7 @@
   IncarnationId asked;
   LookNumber number;
   /// Tells which life of the runner answered.
-  StartTime born;
+  StartTime start_time;
   Epoch epoch;
   OrderOutcome outcome = OrderOutcome::kLost;
   std::int64_t clock_ms = 0;
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -25,10 +25,10 @@
   return found == runners_.end() ? nullptr : Find(found->second->incarnation());
 }
 
-Runner* Fleet::BeginLife(Runner* before, StartTime born, TimePoint now) {
+Runner* Fleet::BeginLife(Runner* before, StartTime start_time, TimePoint now) {
   ForgetLooks(before);
   std::unique_ptr<Runner>& place = runners_.at(before->id());
-  place = before->Next(born, now);
+  place = before->Next(start_time, now);
   Touch(place.get());
   return place.get();
 }
@@ -38,7 +38,7 @@
   if (runner == nullptr) {
     RunnerInfo info;
     info.id = incarnation.runner;
-    info.born = incarnation.born;
+    info.start_time = incarnation.start_time;
     runner = (runners_[info.id] = std::make_unique<Runner>(info)).get();
     Touch(runner);
     runner->Unlist(now);
@@ -54,7 +54,7 @@
 }
 
 Duration Fleet::EarlierLeaseOf(const Runner& runner) const {
-  const bool keeps_id = IsReported(runner.incarnation().born);
+  const bool keeps_id = IsReported(runner.incarnation().start_time);
   return keeps_id ? options_.longest_lease : options_.run_lease;
 }
 
@@ -180,7 +180,7 @@
   // A new scheduler lists them all in one line.
   if (listed_once_) {
     ctx.Log(LogId::kRunnerListed, {{"runner", info.id.value()},
-                                   {"born", ToString(info.born)},
+                                   {"born", ToString(info.start_time)},
                                    {"address", info.address}});
   }
   return runner;
@@ -193,7 +193,8 @@
   if (came_back) {
     runner->LeaseMayLastUntil(ctx.now() + options_.inherited_lease);
   }
-  if (info.born != runner->incarnation().born) TakeHint(ctx, runner, info.born);
+  if (info.start_time != runner->incarnation().start_time)
+    TakeHint(ctx, runner, info.start_time);
   const bool drained = runner->drains_since().has_value();
   runner->Update(info, ctx.now());
   if (drained || !runner->drains_since().has_value()) return;
@@ -202,13 +203,13 @@
            {"leaves_in_ms", std::to_string(info.leaves_in.ms())}});
 }
 
-void Fleet::TakeHint(Context& ctx, Runner* runner, StartTime born) {
-  if (!IsReported(born) || runner->hinted == born) return;
-  runner->hinted = born;
+void Fleet::TakeHint(Context& ctx, Runner* runner, StartTime start_time) {
+  if (!IsReported(start_time) || runner->hinted == start_time) return;
+  runner->hinted = start_time;
   ctx.Log(LogId::kRunnerHinted,
           {{"runner", runner->id().value()},
-           {"born", ToString(born)},
-           {"known", ToString(runner->incarnation().born)}});
+           {"born", ToString(start_time)},
+           {"known", ToString(runner->incarnation().start_time)}});
   // One that is under way may wait on a connection that is dead.
   runner->look_in_flight = false;
   runner->ended = false;
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -118,9 +118,9 @@
   Runner* FindOrInherit(const IncarnationId& incarnation, TimePoint now);
   /// Notes an answer of the runner that carried its clock.
   void NoteHeard(Runner* runner, TimePoint now, std::int64_t clock_ms) const;
-  /// Puts the life `born` in the place of `before`, which is over and must not
-  /// be used any more.
-  Runner* BeginLife(Runner* before, StartTime born, TimePoint now);
+  /// Puts the life `start_time` in the place of `before`, which is over and
+  /// must not be used any more.
+  Runner* BeginLife(Runner* before, StartTime start_time, TimePoint now);
 
   /// Reads the list of runners when that is due; waits as long for it as
   /// `patience` says.
@@ -185,7 +185,7 @@
   Runner* FindOrAdd(Context& ctx, const RunnerInfo& info);
   /// Takes in that a runner's entry tells of another life. The list lags, so
   /// that this may be an earlier one: a look that leaves now tells.
-  void TakeHint(Context& ctx, Runner* runner, StartTime born);
+  void TakeHint(Context& ctx, Runner* runner, StartTime start_time);
   /// Takes in that a runner's entry is gone.
   void Unlist(Context& ctx, Runner* runner);
   /// Notes that the runner's next look may be due at another time than before.
--- a/src/dispatch/life.h
+++ b/src/dispatch/life.h
@@ -21,7 +21,9 @@
 /// order.
 using StartTime = Number<struct StartTimeTag>;
 
-inline constexpr bool IsReported(StartTime born) { return born != StartTime(); }
+inline constexpr bool IsReported(StartTime start_time) {
+  return start_time != StartTime();
+}
 
 /// Names one life of a runner. A runner may start again under its id; its next
 /// life holds and knows nothing of the one before. Where the machine is meant
@@ -30,25 +32,25 @@
 /// Thread safety: a plain value; distinct objects may be used concurrently.
 struct IncarnationId {
   RunnerId runner;
-  StartTime born;
+  StartTime start_time;
 
   IncarnationId() = default;
   IncarnationId(RunnerId id, StartTime birth)
-      : runner(std::move(id)), born(birth) {}
+      : runner(std::move(id)), start_time(birth) {}
 
   friend bool operator==(const IncarnationId& a, const IncarnationId& b) {
-    return a.runner == b.runner && a.born == b.born;
+    return a.runner == b.runner && a.start_time == b.start_time;
   }
   friend bool operator!=(const IncarnationId& a, const IncarnationId& b) {
     return !(a == b);
   }
   friend bool operator<(const IncarnationId& a, const IncarnationId& b) {
-    return std::tie(a.runner, a.born) < std::tie(b.runner, b.born);
+    return std::tie(a.runner, a.start_time) < std::tie(b.runner, b.start_time);
   }
 };
 
 /// For logs: the birth as text; empty if it was not told. Thread-safe.
-std::string ToString(StartTime born);
+std::string ToString(StartTime start_time);
 
 }  // namespace limeledge::dispatch
 
--- a/src/dispatch/loss_book.cc
+++ b/src/dispatch/loss_book.cc
@@ -58,7 +58,7 @@
     if (address.empty() || open.address != address) continue;
     // An entry that was there when the life was lost tells of no later one.
     const bool same_runner = incarnation.runner == living.runner;
-    const bool older = same_runner && living.born == open.listed;
+    const bool older = same_runner && living.start_time == open.listed;
     if (incarnation != living && !older) lost.push_back(incarnation);
   }
   return lost;
--- a/src/dispatch/row_codec.cc
+++ b/src/dispatch/row_codec.cc
@@ -127,8 +127,8 @@
   json.append(Json::Int64(loss.lasted.ms()));
   json.append(loss.crashed);
   json.append(loss.suspicious);
-  if (IsReported(loss.incarnation.born)) {
-    json.append(Json::Int64(loss.incarnation.born.value()));
+  if (IsReported(loss.incarnation.start_time)) {
+    json.append(Json::Int64(loss.incarnation.start_time.value()));
   }
   return json;
 }
@@ -142,7 +142,7 @@
   loss.crashed = json[4].asBool();
   loss.suspicious = json[5].asBool();
   constexpr Json::ArrayIndex kBorn = 6;
-  loss.incarnation.born = BirthAt(json, kBorn);
+  loss.incarnation.start_time = BirthAt(json, kBorn);
   return loss;
 }
 
@@ -155,12 +155,12 @@
   json.append(task.failures);
   json.append(task.incarnation.runner.value());
   json.append(task.checkpoint);
-  const bool born = IsReported(task.incarnation.born);
-  if (task.losses.empty() && !born) return json;
+  const bool start_time = IsReported(task.incarnation.start_time);
+  if (task.losses.empty() && !start_time) return json;
   Json::Value losses(Json::arrayValue);
   for (const RunLoss& loss : task.losses) losses.append(EncodeLoss(loss));
   json.append(std::move(losses));
-  if (born) json.append(Json::Int64(task.incarnation.born.value()));
+  if (start_time) json.append(Json::Int64(task.incarnation.start_time.value()));
   return json;
 }
 
@@ -177,7 +177,7 @@
   // did not count such runs.
   constexpr Json::ArrayIndex kLosses = 6;
   constexpr Json::ArrayIndex kBorn = 7;
-  task.incarnation.born = BirthAt(json, kBorn);
+  task.incarnation.start_time = BirthAt(json, kBorn);
   if (json.size() <= kLosses) return;
   for (const Json::Value& loss : json[kLosses]) {
     task.losses.push_back(DecodeLoss(loss));
--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -45,8 +45,8 @@
 
 }  // namespace
 
-std::string ToString(StartTime born) {
-  return IsReported(born) ? std::to_string(born.value()) : "";
+std::string ToString(StartTime start_time) {
+  return IsReported(start_time) ? std::to_string(start_time.value()) : "";
 }
 
 bool StopRequest::IsDue(TimePoint now, Duration patience) const {
@@ -90,7 +90,7 @@
 
 bool IsOfLifeBefore(const Runner& runner, const Run& run) {
   return run.phase == RunPhase::kInherited && IsReported(run.stored_for) &&
-         run.stored_for != runner.incarnation().born;
+         run.stored_for != runner.incarnation().start_time;
 }
 
 bool IsOnProbation(const Run& run, Duration probation, TimePoint now) {
@@ -113,15 +113,15 @@
   }
 }
 
-std::unique_ptr<Runner> Runner::Next(StartTime born, TimePoint now) {
+std::unique_ptr<Runner> Runner::Next(StartTime start_time, TimePoint now) {
   auto next = std::make_unique<Runner>(info_);
-  next->life_.born = born;
+  next->life_.start_time = start_time;
   next->lives_ = lives_ + 1;
   next->listed_ = listed_;
   next->unlisted_at_ = unlisted_at_;
   next->late_orders = std::move(late_orders);
   // What the entry tells of another life is old.
-  next->hinted = info_.born;
+  next->hinted = info_.start_time;
   if (next->IsOwn(info_) && info_.draining) {
     next->TakeForLeaving(now, info_.leaves_in);
   }
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -31,9 +31,9 @@
 /// entry may tell of a life that is over, or of one that nobody has heard yet.
 struct RunnerInfo {
   RunnerId id;
-  StartTime born;
+  StartTime start_time;
 
-  IncarnationId incarnation() const { return {id, born}; }
+  IncarnationId incarnation() const { return {id, start_time}; }
 
   ServiceId service;
   std::string address;
@@ -198,7 +198,7 @@
 
   /// The life that follows this one under its id: at the same place, of which
   /// it keeps the entry, the number of lives and the orders that may come late.
-  std::unique_ptr<Runner> Next(StartTime born, TimePoint now);
+  std::unique_ptr<Runner> Next(StartTime start_time, TimePoint now);
 
   const RunnerInfo& info() const { return info_; }
   const RunnerId& id() const { return info_.id; }
@@ -364,7 +364,7 @@
  private:
   /// True if an entry's word on leaving is this life's.
   bool IsOwn(const RunnerInfo& info) const {
-    return !IsReported(info.born) || info.born == life_.born;
+    return !IsReported(info.start_time) || info.start_time == life_.start_time;
   }
 
   RunnerInfo info_;
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -112,7 +112,7 @@
         if (runner->runs().count(name) != 0) continue;
         Run run;
         run.number = task.run;
-        run.stored_for = task.incarnation.born;
+        run.stored_for = task.incarnation.start_time;
         run.need = job->step_spec(name.step).room();
         run.sharing = job->step_spec(name.step).sharing();
         run.phase = RunPhase::kInherited;
@@ -232,7 +232,7 @@
           {{"task", ToString(name)},
            {"run", std::to_string(run.number)},
            {"runner", incarnation.runner.value()},
-           {"born", ToString(incarnation.born)},
+           {"born", ToString(incarnation.start_time)},
            {"expected_ms", std::to_string(run.expected.ms())},
            {"near_ms", near_ms},
            {"accelerators", std::to_string(run.need.accelerators)},
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -292,7 +292,7 @@
                     const RunnerLooked& answer);
   /// Ends the object of the life before; returns that of the next, which no run
   /// is on yet.
-  Runner* PutNextLife(TimePoint now, Runner* before, StartTime born);
+  Runner* PutNextLife(TimePoint now, Runner* before, StartTime start_time);
   /// `lost`: the run went with the life before, and is only to be ruled out.
   void AddCarried(Context& ctx, Runner* next, const TaskName& name, Run run,
                   bool lost);
--- a/src/dispatch/scheduler_dump.cc
+++ b/src/dispatch/scheduler_dump.cc
@@ -34,7 +34,7 @@
 Json::Value DumpRunner(const Runner& runner, TimePoint now) {
   Json::Value json;
   json["address"] = runner.info().address;
-  json["born"] = ToString(runner.incarnation().born);
+  json["born"] = ToString(runner.incarnation().start_time);
   json["lives"] = runner.lives();
   json["rack"] = runner.rack();
   json["listed"] = runner.listed();
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -71,8 +71,8 @@
   }
   ctx.Log(LogId::kRunnerBegan,
           {{"runner", old_life.runner.value()},
-           {"born", ToString(answer.born)},
-           {"before", ToString(old_life.born)},
+           {"born", ToString(answer.start_time)},
+           {"before", ToString(old_life.start_time)},
            {"lives", std::to_string(before->lives() + 1)},
            {"lost", std::to_string(lost.size())},
            {"kept", std::to_string(moved.size())},
@@ -105,7 +105,7 @@
   };
   const auto runs_there = those_there(moved);
   const auto runs_to_bar = those_there(to_bar);
-  Runner* next = PutNextLife(ctx.now(), before, answer.born);
+  Runner* next = PutNextLife(ctx.now(), before, answer.start_time);
   for (const auto& [name, run] : runs_there) {
     AddCarried(ctx, next, name, run, false);
   }
@@ -117,7 +117,8 @@
   return next;
 }
 
-Runner* Scheduler::PutNextLife(TimePoint now, Runner* before, StartTime born) {
+Runner* Scheduler::PutNextLife(TimePoint now, Runner* before,
+                               StartTime start_time) {
   const bool start_under_way = std::any_of(
       before->runs().begin(), before->runs().end(), [](const auto& entry) {
         return entry.second.phase == RunPhase::kStarting;
@@ -128,7 +129,7 @@
   const bool granted_now = before->look_grants;
   const TimePoint look_sent_at = before->look_sent_at;
   const LookNumber look_number = before->look_number;
-  Runner* next = fleet_.BeginLife(before, born, now);
+  Runner* next = fleet_.BeginLife(before, start_time, now);
   // The look that told of it is its first one.
   next->look_sent_at = look_sent_at;
   next->look_number = look_number;
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -52,7 +52,8 @@
 /// The life that the run was started on.
 IncarnationId LifeOf(const Runner& runner, const Run& run) {
   const bool before = IsOfLifeBefore(runner, run);
-  return {runner.id(), before ? run.stored_for : runner.incarnation().born};
+  return {runner.id(),
+          before ? run.stored_for : runner.incarnation().start_time};
 }
 
 /// "RUN@RUNNER" of each, for logs.
@@ -110,7 +111,7 @@
       {{"task", ToString(name)},
        {"run", std::to_string(run.number)},
        {"runner", runner.id().value()},
-       {"born", ToString(LifeOf(runner, run).born)},
+       {"born", ToString(LifeOf(runner, run).start_time)},
        {"lasted_ms", lasted.has_value() ? std::to_string(lasted->ms()) : ""},
        {"runner_end", ToString(loss.how)},
        {"with_others", loss.with_others ? "yes" : "no"}});
@@ -169,7 +170,7 @@
     if (job == nullptr || !job->SettleLosses(name, incarnation, fate)) continue;
     ctx.Log(LogId::kLossSettled, {{"task", ToString(name)},
                                   {"runner", incarnation.runner.value()},
-                                  {"born", ToString(incarnation.born)},
+                                  {"born", ToString(incarnation.start_time)},
                                   {"lives", ToString(fate)}});
     Mark(name.job);
     JudgeTask(ctx, name);
@@ -238,20 +239,20 @@
        losses_.LostBefore(runner->incarnation())) {
     SettleLosses(
         ctx, before,
-        IsReported(before.born) ? LifeFate::kCrashed : LifeFate::kLives);
+        IsReported(before.start_time) ? LifeFate::kCrashed : LifeFate::kLives);
   }
 }
 
 void Scheduler::NoteOrderHeard(Context& ctx, Runner* runner,
                                std::int64_t clock_ms) {
-  if (IsReported(runner->incarnation().born) || clock_ms <= 0) return;
+  if (IsReported(runner->incarnation().start_time) || clock_ms <= 0) return;
   NoteHeard(ctx, runner, clock_ms);
 }
 
 StartTime Scheduler::ListedBirth(const IncarnationId& incarnation) const {
   const auto found = fleet_.runners().find(incarnation.runner);
   return found == fleet_.runners().end() ? StartTime()
-                                         : found->second->info().born;
+                                         : found->second->info().start_time;
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -225,12 +225,12 @@
     return Verdict::kGoesOn;
   }
   // What left after a life was heard is answered by that one or a later one.
-  if (answer.born != runner->incarnation().born) {
+  if (answer.start_time != runner->incarnation().start_time) {
     runner = BeginLife(ctx, runner, answer);
   }
   if (!runner->reachable()) {
     ctx.Log(LogId::kRunnerHeard, {{"runner", runner->id().value()},
-                                  {"born", ToString(answer.born)}});
+                                  {"born", ToString(answer.start_time)}});
     plan_due_ = true;
   }
   NoteHeard(ctx, runner, answer.clock_ms);
@@ -321,10 +321,11 @@
   if (task == nullptr || end.run > task->run) return;
   Runner* present = fleet_.Find(task->incarnation);
   if (!job->NoteDoneAfterAll(end.task)) return;
-  ctx.Log(LogId::kRunDoneLate, {{"task", ToString(end.task)},
-                                {"run", std::to_string(end.run)},
-                                {"runner", runner.id().value()},
-                                {"born", ToString(runner.incarnation().born)}});
+  ctx.Log(LogId::kRunDoneLate,
+          {{"task", ToString(end.task)},
+           {"run", std::to_string(end.run)},
+           {"runner", runner.id().value()},
+           {"born", ToString(runner.incarnation().start_time)}});
   // Other members of a gang break when this one goes.
   if (present != nullptr) AskStop(ctx, present, end.task);
   Settle(ctx, job);
@@ -422,7 +423,7 @@
           {{"task", ToString(name)},
            {"run", std::to_string(found->second.number)},
            {"runner", runner->id().value()},
-           {"born", ToString(runner->incarnation().born)},
+           {"born", ToString(runner->incarnation().start_time)},
            {"newest_end", std::to_string(runner->newest_end)}});
   runner->written_off.insert({name, found->second.number});
   EndRun(ctx, runner, name, RunEnd::kLapsed, "");
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -240,7 +240,7 @@
         ListSeen& seen = processes_[node].list_seen;
         seen.entries.clear();
         for (const dispatch::RunnerInfo& info : listed.runners) {
-          seen.entries[info.id] = {info.born, info.draining, info.room};
+          seen.entries[info.id] = {info.start_time, info.draining, info.room};
         }
         listed.newest = seen.revision = seen.revision.Next();
         return listed;
@@ -282,7 +282,7 @@
   for (const dispatch::RunnerInfo& info : ListOfRunners().runners) {
     const auto found = unseen.find(info.id);
     const bool same = found != unseen.end() &&
-                      found->second.born == info.born &&
+                      found->second.start_time == info.start_time &&
                       found->second.draining == info.draining &&
                       found->second.room == info.room;
     if (!same) changes.runners.push_back(info);
@@ -296,7 +296,7 @@
                            ListSeen* seen) {
   seen->revision = changes.newest;
   for (const dispatch::RunnerInfo& info : changes.runners) {
-    seen->entries[info.id] = {info.born, info.draining, info.room};
+    seen->entries[info.id] = {info.start_time, info.draining, info.room};
   }
   for (const RunnerId& id : changes.gone) seen->entries.erase(id);
 }
--- a/src/emulator/emulated_catalog.cc
+++ b/src/emulator/emulated_catalog.cc
@@ -37,7 +37,7 @@
 std::string TicketStart(const dispatch::StepName& step,
                         const dispatch::IncarnationId& incarnation) {
   return absl::StrCat(ToString(step), " at ", incarnation.runner.value(), "@",
-                      incarnation.born.value(), kTicketMark);
+                      incarnation.start_time.value(), kTicketMark);
 }
 
 }  // namespace
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -300,7 +300,7 @@
   dispatch::RunnerLooked answer;
   answer.asked = look.target.incarnation;
   answer.number = look.number;
-  answer.born = info_.born;
+  answer.start_time = info_.start_time;
   answer.epoch = look.target.epoch;
   answer.clock_ms = clock_ms();
   answer.outcome = OrderOutcome::kDone;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -187,7 +187,7 @@
   struct ListSeen {
     Revision revision;
     struct Entry {
-      dispatch::StartTime born;
+      dispatch::StartTime start_time;
       bool draining = false;
       dispatch::Resources room;
     };
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -165,7 +165,7 @@
 void PromiseOracle::NoteLook(const dispatch::LookAtRunner& look,
                              const dispatch::RunnerLooked& answer,
                              const std::function<bool(std::int64_t)>& stands) {
-  auto& listed = listed_[{look.target.incarnation.runner, answer.born}];
+  auto& listed = listed_[{look.target.incarnation.runner, answer.start_time}];
   // What the look tells as known is taken note of.
   while (!listed.empty() && listed.begin()->first <= look.acknowledged_end) {
     const ListedEnd end = listed.begin()->second;
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -27,12 +27,12 @@
     return Context(now, 0, &tickets, &effects);
   }
 
-  Runner* AddRunner(const char* id, StartTime born = StartTime()) {
+  Runner* AddRunner(const char* id, StartTime start_time = StartTime()) {
     RunnersListed listed;
     listed.ok = true;
     RunnerInfo info;
     info.id = RunnerId(id);
-    info.born = born;
+    info.start_time = start_time;
     info.address = "10.0.0.1:80";
     info.room = {64000, 262144, 8};
     listed.runners.push_back(info);
@@ -42,9 +42,9 @@
   }
 
   /// A listed runner on which an earlier scheduler started a run.
-  Runner* Inherit(const char* id, StartTime born) {
-    AddRunner(id, born);
-    return fleet.FindOrInherit({RunnerId(id), born}, now);
+  Runner* Inherit(const char* id, StartTime start_time) {
+    AddRunner(id, start_time);
+    return fleet.FindOrInherit({RunnerId(id), start_time}, now);
   }
 
   /// The list is read and names nobody.
@@ -340,7 +340,7 @@
   RunnersListed listed;
   listed.ok = true;
   listed.runners = {runner->info()};
-  listed.runners.front().born = StartTime(1700);
+  listed.runners.front().start_time = StartTime(1700);
   Context ctx = NewContext();
   fleet.Handle(ctx, listed);
   const auto look = Look();
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -18,8 +18,9 @@
   const TaskName task{JobId("j"), 0, 0, 0};
 
   /// A life of a runner that tells no births, unless one is given.
-  static IncarnationId Life(const char* id, StartTime born = StartTime()) {
-    return {RunnerId(id), born};
+  static IncarnationId Life(const char* id,
+                            StartTime start_time = StartTime()) {
+    return {RunnerId(id), start_time};
   }
 
   static RunLoss Loss(int run, bool crashed, bool suspicious,
@@ -149,7 +150,7 @@
 
 TEST(RunLoss, NextLifeAtTheAddressTellsThatTheOneBeforeIsOver) {
   RunLoss loss = Loss(1, false, true);
-  loss.incarnation.born = StartTime(100);
+  loss.incarnation.start_time = StartTime(100);
   book.NoteOpen(task, loss, StartTime(100), TimePoint(1000));
   LONGS_EQUAL(0, book.LostAt(loss.address, loss.incarnation).size());
   LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
@@ -158,7 +159,7 @@
 // An entry may lag behind what the runner itself has answered.
 TEST(RunLoss, EntryOfAnEarlierLifeTellsNothingOfALaterOne) {
   RunLoss loss = Loss(1, false, true);
-  loss.incarnation.born = StartTime(100);
+  loss.incarnation.start_time = StartTime(100);
   book.NoteOpen(task, loss, StartTime(50), TimePoint(1000));
   LONGS_EQUAL(0, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
   LONGS_EQUAL(1, book.LostBefore(Life("i-1", StartTime(200))).size());
@@ -172,7 +173,7 @@
   Job job(spec);
   job.Assign(task, 3, Life("i-3", StartTime(1700)), TimePoint(0));
   RunLoss loss = Loss(3, true, true);
-  loss.incarnation.born = StartTime(1600);
+  loss.incarnation.start_time = StartTime(1600);
   CHECK_TRUE(job.NoteLoss(task, loss));
   Job read(spec);
   CHECK_TRUE(DecodeProgress(EncodeProgress(job), &read).ok());
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -115,7 +115,7 @@
       &looked);
   CHECK_TRUE(status.ok());
   LONGS_EQUAL(482113, looked.clock_ms);
-  CHECK_FALSE(dispatch::IsReported(looked.born));
+  CHECK_FALSE(dispatch::IsReported(looked.start_time));
   LONGS_EQUAL(17, looked.running[0].task.index);
   LONGS_EQUAL(41, looked.running[0].percent);
   LONGS_EQUAL(58, looked.ended[0].number);
@@ -126,10 +126,10 @@
   dispatch::RunnerLooked looked;
   CHECK_TRUE(
       DecodeLook(R"({"clock-ms":1,"born":1791244478514})", &looked).ok());
-  CHECK_TRUE(looked.born == dispatch::StartTime(1791244478514));
-  for (const char* born : {"\"x\"", "1.5", "{}", "true"}) {
-    const std::string text = std::string(R"({"born":)") + born + "}";
-    CHECK_FALSE_TEXT(DecodeLook(text, &looked).ok(), born);
+  CHECK_TRUE(looked.start_time == dispatch::StartTime(1791244478514));
+  for (const char* start_time : {"\"x\"", "1.5", "{}", "true"}) {
+    const std::string text = std::string(R"({"born":)") + start_time + "}";
+    CHECK_FALSE_TEXT(DecodeLook(text, &looked).ok(), start_time);
   }
 }
 
