--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -241,14 +241,14 @@
   leadership_.Reset(ctx.now());
 }
 
-void Node::Obey(Context& ctx, Scheduler::Verdict verdict) {
+void Node::Obey(Context& ctx, Scheduler::LeaseStatus verdict) {
   switch (verdict) {
-    case Scheduler::Verdict::kGoesOn:
+    case Scheduler::LeaseStatus::kGoesOn:
       return;
-    case Scheduler::Verdict::kDeposed:
+    case Scheduler::LeaseStatus::kDeposed:
       StepDown(ctx, "another node leads");
       return;
-    case Scheduler::Verdict::kReleased:
+    case Scheduler::LeaseStatus::kReleased:
       StepDown(ctx, "released");
       return;
   }
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -96,7 +96,7 @@
 
   void Lead(Context& ctx, const Leadership::Claimed& claimed);
   void StepDown(Context& ctx, const char* reason);
-  void Obey(Context& ctx, Scheduler::Verdict verdict);
+  void Obey(Context& ctx, Scheduler::LeaseStatus verdict);
   /// Tells the scheduler if this process comes late to its work.
   void CheckStoodStill(Context& ctx);
   void UpdateReady(Context& ctx);
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -21,14 +21,14 @@
 // Steps to which `pass_interval_per_hundred` refers.
 constexpr int kHundred = 100;
 
-Scheduler::Verdict VerdictOf(StateWriter::Verdict verdict) {
+Scheduler::LeaseStatus VerdictOf(StateWriter::LeaseStatus verdict) {
   switch (verdict) {
-    case StateWriter::Verdict::kDeposed:
-      return Scheduler::Verdict::kDeposed;
-    case StateWriter::Verdict::kReleased:
-      return Scheduler::Verdict::kReleased;
+    case StateWriter::LeaseStatus::kDeposed:
+      return Scheduler::LeaseStatus::kDeposed;
+    case StateWriter::LeaseStatus::kReleased:
+      return Scheduler::LeaseStatus::kReleased;
     default:
-      return Scheduler::Verdict::kGoesOn;
+      return Scheduler::LeaseStatus::kGoesOn;
   }
 }
 
@@ -56,13 +56,13 @@
   writer_.Release();
 }
 
-Scheduler::Verdict Scheduler::Handle(Context& ctx,
-                                     const TransactionAnswered& answer) {
+Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
+                                         const TransactionAnswered& answer) {
   if (!cleaner_.Owns(answer.ticket)) {
     return VerdictOf(writer_.Handle(ctx, answer));
   }
   cleaner_.Handle(ctx, answer, &book_, &writer_);
-  return Verdict::kGoesOn;
+  return LeaseStatus::kGoesOn;
 }
 
 void Scheduler::Handle(Context& ctx, const RowsAnswered& answer) {
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -142,17 +142,17 @@
   Scheduler(SchedulerOptions options, const Leadership::Claimed& claimed,
             const StorePatience* patience, TimePoint now);
 
-  enum class Verdict { kGoesOn, kDeposed, kReleased };
+  enum class LeaseStatus { kGoesOn, kDeposed, kReleased };
 
   /// True if the answer belongs to a call of this scheduler.
   bool Owns(Ticket ticket) const;
-  Verdict Handle(Context& ctx, const TransactionAnswered& answer);
+  LeaseStatus Handle(Context& ctx, const TransactionAnswered& answer);
   void Handle(Context& ctx, const RowsAnswered& answer);
   void Handle(Context& ctx, const ChangesAnswered& answer);
   void Handle(Context& ctx, const RunnersListed& answer);
-  Verdict Handle(Context& ctx, const RunnerLooked& answer);
-  Verdict Handle(Context& ctx, const StartAnswered& answer);
-  Verdict Handle(Context& ctx, const StopAnswered& answer);
+  LeaseStatus Handle(Context& ctx, const RunnerLooked& answer);
+  LeaseStatus Handle(Context& ctx, const StartAnswered& answer);
+  LeaseStatus Handle(Context& ctx, const StopAnswered& answer);
   void Handle(Context& ctx, const AdviceAnswered& answer);
 
   /// The process stood still for `time`: another may schedule since. Nothing is
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -49,17 +49,17 @@
   return "";
 }
 
-Scheduler::Verdict Scheduler::Handle(Context& ctx,
-                                     const StartAnswered& answer) {
-  if (answer.epoch != writer_.epoch()) return Verdict::kGoesOn;
-  if (answer.outcome == OrderOutcome::kFenced) return Verdict::kDeposed;
+Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
+                                         const StartAnswered& answer) {
+  if (answer.epoch != writer_.epoch()) return LeaseStatus::kGoesOn;
+  if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
-  if (runner == nullptr) return Verdict::kGoesOn;
+  if (runner == nullptr) return LeaseStatus::kGoesOn;
   NoteOrderAnswered(runner);
   NoteOrderHeard(ctx, runner, answer.clock_ms);
   plan_due_ = true;
   Run* run = runner->FindRun(answer.task, answer.run);
-  if (run == nullptr) return Verdict::kGoesOn;
+  if (run == nullptr) return LeaseStatus::kGoesOn;
   NoteLateStart(ctx.now(), runner, answer, *run);
   run->answered_at = ctx.now();
   if (answer.outcome == OrderOutcome::kDone) {
@@ -68,10 +68,10 @@
     run->progressed_at = ctx.now();
     run->pace_from = ctx.now();
     if (run->stopping) AskStop(ctx, runner, answer.task);
-    return Verdict::kGoesOn;
+    return LeaseStatus::kGoesOn;
   }
   TakeFailedStart(ctx, runner, answer, run);
-  return Verdict::kGoesOn;
+  return LeaseStatus::kGoesOn;
 }
 
 void Scheduler::NoteLateStart(TimePoint now, Runner* runner,
@@ -114,16 +114,17 @@
   StopGang(ctx, answer.task);
 }
 
-Scheduler::Verdict Scheduler::Handle(Context& ctx, const StopAnswered& answer) {
-  if (answer.epoch != writer_.epoch()) return Verdict::kGoesOn;
-  if (answer.outcome == OrderOutcome::kFenced) return Verdict::kDeposed;
+Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
+                                         const StopAnswered& answer) {
+  if (answer.epoch != writer_.epoch()) return LeaseStatus::kGoesOn;
+  if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
-  if (runner == nullptr) return Verdict::kGoesOn;
+  if (runner == nullptr) return LeaseStatus::kGoesOn;
   NoteOrderAnswered(runner);
   NoteOrderHeard(ctx, runner, answer.clock_ms);
   if (answer.outcome == OrderOutcome::kOtherLife) {
     EndAll(ctx, runner, "another life answers at its address");
-    return Verdict::kGoesOn;
+    return LeaseStatus::kGoesOn;
   }
   const bool answered = answer.outcome == OrderOutcome::kDone ||
                         answer.outcome == OrderOutcome::kOldRun;
@@ -133,7 +134,7 @@
     if (answered) unwanted->second.may_come = false;
   }
   Run* run = runner->FindRun(answer.task, answer.run);
-  if (run == nullptr) return Verdict::kGoesOn;
+  if (run == nullptr) return LeaseStatus::kGoesOn;
   run->stop.Answered(answered);
   if (answered) {
     run->answered_at = ctx.now();
@@ -141,7 +142,7 @@
   } else {
     MissAnswer(ctx, runner);
   }
-  return Verdict::kGoesOn;
+  return LeaseStatus::kGoesOn;
 }
 
 void Scheduler::EndRun(Context& ctx, Runner* runner, const TaskName& name,
@@ -207,22 +208,23 @@
            runner->LeftAsKnown() ? RunnerEnd::kLeft : RunnerEnd::kUnknown);
 }
 
-Scheduler::Verdict Scheduler::Handle(Context& ctx, const RunnerLooked& answer) {
-  if (answer.epoch != writer_.epoch()) return Verdict::kGoesOn;
-  if (answer.outcome == OrderOutcome::kFenced) return Verdict::kDeposed;
+Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
+                                         const RunnerLooked& answer) {
+  if (answer.epoch != writer_.epoch()) return LeaseStatus::kGoesOn;
+  if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
   // Another look may have left since, on a hint that another life is there.
   const bool is_newest =
       runner != nullptr && answer.number == runner->look_number;
-  if (!is_newest) return Verdict::kGoesOn;
+  if (!is_newest) return LeaseStatus::kGoesOn;
   runner->look_in_flight = false;
   if (answer.outcome == OrderOutcome::kOtherLife) {
     EndAll(ctx, runner, "another life answers at its address");
-    return Verdict::kGoesOn;
+    return LeaseStatus::kGoesOn;
   }
   if (answer.outcome != OrderOutcome::kDone) {
     MissLook(ctx, runner, answer.outcome);
-    return Verdict::kGoesOn;
+    return LeaseStatus::kGoesOn;
   }
   // What left after a life was heard is answered by that one or a later one.
   if (answer.start_time != runner->incarnation().start_time) {
@@ -242,7 +244,7 @@
   ForgetUnwanted(runner, answer.running);
   // What is not listed as running may be among the ends that are left.
   if (all_taken) TakeAbsent(ctx, runner, answer);
-  return Verdict::kGoesOn;
+  return LeaseStatus::kGoesOn;
 }
 
 bool Scheduler::TakeEnds(Context& ctx, Runner* runner,
