--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -239,8 +239,8 @@
   if (task != nullptr) ForgetOutlived(lasted, rules, &task->losses);
 }
 
-bool Job::SettleLosses(const TaskName& name, const IncarnationId& incarnation,
-                       LifeFate fate) {
+bool Job::ResolveLosses(const TaskName& name, const IncarnationId& incarnation,
+                        LifeFate fate) {
   Task* task = Find(name);
   if (task == nullptr) return false;
   bool changed = false;
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -172,8 +172,8 @@
                   const LossRules& rules);
   /// Notes what became of a life that the task lost runs with. Returns false if
   /// nothing changes.
-  bool SettleLosses(const TaskName& name, const IncarnationId& incarnation,
-                    LifeFate fate);
+  bool ResolveLosses(const TaskName& name, const IncarnationId& incarnation,
+                     LifeFate fate);
   /// Gives up a task that waits. Returns false, and changes nothing, if it does
   /// not wait.
   bool GiveUp(const TaskName& name);
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -250,8 +250,8 @@
   void CountLoss(Context& ctx, const Runner& runner, const TaskName& name,
                  const Run& run, const RunnerLoss& loss);
   /// It is known now what became of a life.
-  void SettleLosses(Context& ctx, const IncarnationId& incarnation,
-                    LifeFate fate);
+  void ResolveLosses(Context& ctx, const IncarnationId& incarnation,
+                     LifeFate fate);
   /// Settles the losses of runners whose addresses others have taken.
   void TakeOtherLives(Context& ctx, const RunnersListed& answer);
   /// Settles what was in doubt for too long.
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -84,7 +84,7 @@
     EndRun(ctx, before, name, RunEnd::kRejected, "");
     StopGang(ctx, name);
   }
-  SettleLosses(ctx, old_life, LifeFate::kCrashed);
+  ResolveLosses(ctx, old_life, LifeFate::kCrashed);
   Runner* next = CarryOver(ctx, before, moved, to_bar, answer);
   plan_due_ = true;
   return next;
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -163,11 +163,12 @@
   return CountUnexplained(lost) >= rules.unexplained_runners;
 }
 
-void Scheduler::SettleLosses(Context& ctx, const IncarnationId& incarnation,
-                             LifeFate fate) {
+void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& incarnation,
+                              LifeFate fate) {
   for (const TaskName& name : losses_.Close(incarnation)) {
     Job* job = book_.Find(name.job);
-    if (job == nullptr || !job->SettleLosses(name, incarnation, fate)) continue;
+    if (job == nullptr || !job->ResolveLosses(name, incarnation, fate))
+      continue;
     ctx.Log(LogId::kLossSettled, {{"task", ToString(name)},
                                   {"runner", incarnation.runner.value()},
                                   {"born", ToString(incarnation.start_time)},
@@ -183,7 +184,7 @@
   for (const RunnerInfo& info : answer.runners) {
     for (const IncarnationId& lost :
          losses_.LostAt(info.address, info.incarnation())) {
-      SettleLosses(ctx, lost, LifeFate::kCrashed);
+      ResolveLosses(ctx, lost, LifeFate::kCrashed);
     }
   }
 }
@@ -191,7 +192,7 @@
 void Scheduler::SettleOverdue(Context& ctx) {
   if (!losses_.HasOpen()) return;
   for (const IncarnationId& incarnation : losses_.Overdue(ctx.now())) {
-    SettleLosses(ctx, incarnation, LifeFate::kNeverHeardOf);
+    ResolveLosses(ctx, incarnation, LifeFate::kNeverHeardOf);
   }
 }
 
@@ -233,11 +234,11 @@
 void Scheduler::NoteHeard(Context& ctx, Runner* runner, std::int64_t clock_ms) {
   fleet_.NoteHeard(runner, ctx.now(), clock_ms);
   if (!losses_.HasOpen()) return;
-  SettleLosses(ctx, runner->incarnation(), LifeFate::kLives);
+  ResolveLosses(ctx, runner->incarnation(), LifeFate::kLives);
   // One that was followed by another does not live on.
   for (const IncarnationId& before :
        losses_.LostBefore(runner->incarnation())) {
-    SettleLosses(
+    ResolveLosses(
         ctx, before,
         IsReported(before.start_time) ? LifeFate::kCrashed : LifeFate::kLives);
   }
