--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -392,7 +392,7 @@
 }
 
 void SoakPlatform::OnLook(const emulator::EmulatedRunner& runner,
-                          const dispatch::LookAtRunner& look,
+                          const dispatch::PollRunner& look,
                           const dispatch::RunnerLooked& answer) {
   oracle_.NoteLook(look, answer, [&](std::int64_t end) {
     const bool same_life = runner.info().id == look.target.incarnation.runner;
--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -87,7 +87,7 @@
 };
 
 /// Asks what runs and what ended; grants a lease on everything that runs.
-struct LookAtRunner {
+struct PollRunner {
   OrderTarget target;
   LookNumber number;
   std::int64_t acknowledged_end = 0;
@@ -174,8 +174,8 @@
 
 using Effect =
     std::variant<CommitRows, ReadRows, AwaitChanges, ReadCatalog, AwaitCatalog,
-                 ListRunners, LookAtRunner, StartRun, StopRun, AskAdvice,
-                 AskPeer, AnswerCall, AnswerState, SetReady, WriteLog, Exit>;
+                 ListRunners, PollRunner, StartRun, StopRun, AskAdvice, AskPeer,
+                 AnswerCall, AnswerState, SetReady, WriteLog, Exit>;
 using Effects = std::vector<Effect>;
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -324,7 +324,7 @@
 
 void Fleet::LookAt(Context& ctx, Runner* runner, Epoch epoch, bool may_renew,
                    bool all_runs_known) {
-  LookAtRunner look;
+  PollRunner look;
   look.target = TargetOf(*runner, epoch);
   look.number = newest_look_ = newest_look_.Next();
   // A look that is lost may be carried out late, by a next life that counts its
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-void EmulatedSystem::Perform(int node, const dispatch::LookAtRunner& look) {
+void EmulatedSystem::Perform(int node, const dispatch::PollRunner& look) {
   CheckMayAct(node, "looks at a runner");
   const int incarnation = processes_[node].incarnation;
   ++looks_;
@@ -57,7 +57,7 @@
 }
 
 void EmulatedSystem::LoseLook(int node, int incarnation,
-                              const dispatch::LookAtRunner& look) {
+                              const dispatch::PollRunner& look) {
   dispatch::RunnerLooked lost;
   lost.asked = look.target.incarnation;
   lost.number = look.number;
@@ -71,7 +71,7 @@
       Chance() * static_cast<double>(faults_.late_order.ms())));
 }
 
-void EmulatedSystem::CarryOutLate(const dispatch::LookAtRunner& look) {
+void EmulatedSystem::CarryOutLate(const dispatch::PollRunner& look) {
   DropIfCrashed(look.target.address);
   const auto at = runner_at_.find(look.target.address);
   if (at == runner_at_.end() || !Hears(at->second)) return;
@@ -85,7 +85,7 @@
   NoteLook(look, answer, *runner);
 }
 
-void EmulatedSystem::NoteLook(const dispatch::LookAtRunner& look,
+void EmulatedSystem::NoteLook(const dispatch::PollRunner& look,
                               const dispatch::RunnerLooked& answer,
                               const EmulatedRunner& runner) {
   oracle_.NoteLook(look, answer, [&](std::int64_t end) {
@@ -95,7 +95,7 @@
 }
 
 void EmulatedSystem::AnswerLook(int node, int incarnation,
-                                const dispatch::LookAtRunner& look,
+                                const dispatch::PollRunner& look,
                                 TimePoint until,
                                 const dispatch::IncarnationId& waits_at) {
   DropIfCrashed(look.target.address);
@@ -131,7 +131,7 @@
   const bool waits = answer.outcome == OrderOutcome::kDone && now_ < until &&
                      !runner->HasNewEnds(look.acknowledged_end);
   if (waits) {
-    dispatch::LookAtRunner rest = look;
+    dispatch::PollRunner rest = look;
     rest.until_ms = 0;
     At(now_ + kLookStep, [this, node, incarnation, rest, until, there] {
       AnswerLook(node, incarnation, rest, until, there);
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -295,8 +295,7 @@
   return !ended_.empty() && ended_.back().number > acknowledged;
 }
 
-dispatch::RunnerLooked EmulatedRunner::Look(
-    const dispatch::LookAtRunner& look) {
+dispatch::RunnerLooked EmulatedRunner::Look(const dispatch::PollRunner& look) {
   dispatch::RunnerLooked answer;
   answer.asked = look.target.incarnation;
   answer.number = look.number;
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -86,13 +86,13 @@
                        options.longest_retry_pause);
   }
 
-  std::optional<LookAtRunner> Look() {
+  std::optional<PollRunner> Look() {
     // As the scheduler does for each runner that an event is about.
     for (auto& [id, runner] : fleet.runners()) fleet.FindPresent(id);
     Context ctx = NewContext();
     fleet.Look(ctx, Epoch(1), true, true);
     for (const Effect& effect : effects) {
-      if (const auto* look = std::get_if<LookAtRunner>(&effect)) return *look;
+      if (const auto* look = std::get_if<PollRunner>(&effect)) return *look;
     }
     return std::nullopt;
   }
@@ -136,7 +136,7 @@
   Runner* runner = AddRunner("i-1");
   AddRun(runner);
   runner->Heard(now, 500000);
-  const std::optional<LookAtRunner> look = Look();
+  const std::optional<PollRunner> look = Look();
   CHECK_TRUE(look.has_value());
   LONGS_EQUAL(500000 + FleetOptions().run_lease.ms(), look->until_ms);
 }
@@ -152,7 +152,7 @@
   runner->look_in_flight = false;
   runner->Missed(now);
   now = now + Duration(2000);
-  const std::optional<LookAtRunner> look = Look();
+  const std::optional<PollRunner> look = Look();
   CHECK_TRUE(look.has_value());
   LONGS_EQUAL(0, look->until_ms);
   CHECK_TRUE(over == runner->lease_over_at());
@@ -174,7 +174,7 @@
   fleet.Look(first, Epoch(1), true, true);
   LONGS_EQUAL(FleetOptions().first_looks, effects.size());
   CHECK_TRUE(fleet.next_at() > now);
-  const auto* look = std::get_if<LookAtRunner>(&effects.front());
+  const auto* look = std::get_if<PollRunner>(&effects.front());
   Runner* answered = fleet.Find(look->target.incarnation);
   answered->look_in_flight = false;
   answered->Heard(now, 1000);
@@ -290,8 +290,7 @@
     // So long takes a look without an answer.
     now = now + Duration(500);
     for (const Effect& effect : effects) {
-      const IncarnationId id =
-          std::get<LookAtRunner>(effect).target.incarnation;
+      const IncarnationId id = std::get<PollRunner>(effect).target.incarnation;
       looked_at_last = looked_at_last || id == last;
       LoseLook(fleet.Find(id));
     }
@@ -421,7 +420,7 @@
   const Duration lease = FleetOptions().run_lease;
   const TimePoint until = runner->HoldEnd(3, now, lease);
   CHECK_TRUE(until - now > lease);
-  const std::optional<LookAtRunner> held = Look();
+  const std::optional<PollRunner> held = Look();
   LONGS_EQUAL(2, held->acknowledged_end);
   LONGS_EQUAL(0, held->until_ms);
   runner->look_in_flight = false;
--- a/test/promise-oracle-test.cc
+++ b/test/promise-oracle-test.cc
@@ -42,7 +42,7 @@
   /// The runner lists an end, and is told that ends up to `known` are known.
   void Look(std::int64_t known, const std::vector<ListedEnd>& ends,
             bool stands = true) {
-    dispatch::LookAtRunner look;
+    dispatch::PollRunner look;
     look.target.incarnation.runner = runner;
     look.acknowledged_end = known;
     dispatch::RunnerLooked answer;
