--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -243,7 +243,7 @@
 
 void Node::Obey(Context& ctx, Scheduler::LeaseStatus verdict) {
   switch (verdict) {
-    case Scheduler::LeaseStatus::kGoesOn:
+    case Scheduler::LeaseStatus::kHeld:
       return;
     case Scheduler::LeaseStatus::kDeposed:
       StepDown(ctx, "another node leads");
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -28,7 +28,7 @@
     case StateWriter::LeaseStatus::kReleased:
       return Scheduler::LeaseStatus::kReleased;
     default:
-      return Scheduler::LeaseStatus::kGoesOn;
+      return Scheduler::LeaseStatus::kHeld;
   }
 }
 
@@ -62,7 +62,7 @@
     return VerdictOf(writer_.Handle(ctx, answer));
   }
   cleaner_.Handle(ctx, answer, &book_, &writer_);
-  return LeaseStatus::kGoesOn;
+  return LeaseStatus::kHeld;
 }
 
 void Scheduler::Handle(Context& ctx, const RowsAnswered& answer) {
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -142,7 +142,7 @@
   Scheduler(SchedulerOptions options, const Leadership::Claimed& claimed,
             const StorePatience* patience, TimePoint now);
 
-  enum class LeaseStatus { kGoesOn, kDeposed, kReleased };
+  enum class LeaseStatus { kHeld, kDeposed, kReleased };
 
   /// True if the answer belongs to a call of this scheduler.
   bool Owns(Ticket ticket) const;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -51,15 +51,15 @@
 
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
                                          const StartAnswered& answer) {
-  if (answer.epoch != writer_.epoch()) return LeaseStatus::kGoesOn;
+  if (answer.epoch != writer_.epoch()) return LeaseStatus::kHeld;
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
-  if (runner == nullptr) return LeaseStatus::kGoesOn;
+  if (runner == nullptr) return LeaseStatus::kHeld;
   NoteOrderAnswered(runner);
   NoteOrderHeard(ctx, runner, answer.clock_ms);
   plan_due_ = true;
   Run* run = runner->FindRun(answer.task, answer.run);
-  if (run == nullptr) return LeaseStatus::kGoesOn;
+  if (run == nullptr) return LeaseStatus::kHeld;
   NoteLateStart(ctx.now(), runner, answer, *run);
   run->answered_at = ctx.now();
   if (answer.outcome == OrderOutcome::kDone) {
@@ -68,10 +68,10 @@
     run->progressed_at = ctx.now();
     run->pace_from = ctx.now();
     if (run->stopping) AskStop(ctx, runner, answer.task);
-    return LeaseStatus::kGoesOn;
+    return LeaseStatus::kHeld;
   }
   TakeFailedStart(ctx, runner, answer, run);
-  return LeaseStatus::kGoesOn;
+  return LeaseStatus::kHeld;
 }
 
 void Scheduler::NoteLateStart(TimePoint now, Runner* runner,
@@ -116,15 +116,15 @@
 
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
                                          const StopAnswered& answer) {
-  if (answer.epoch != writer_.epoch()) return LeaseStatus::kGoesOn;
+  if (answer.epoch != writer_.epoch()) return LeaseStatus::kHeld;
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
-  if (runner == nullptr) return LeaseStatus::kGoesOn;
+  if (runner == nullptr) return LeaseStatus::kHeld;
   NoteOrderAnswered(runner);
   NoteOrderHeard(ctx, runner, answer.clock_ms);
   if (answer.outcome == OrderOutcome::kOtherLife) {
     EndAll(ctx, runner, "another life answers at its address");
-    return LeaseStatus::kGoesOn;
+    return LeaseStatus::kHeld;
   }
   const bool answered = answer.outcome == OrderOutcome::kDone ||
                         answer.outcome == OrderOutcome::kOldRun;
@@ -134,7 +134,7 @@
     if (answered) unwanted->second.may_come = false;
   }
   Run* run = runner->FindRun(answer.task, answer.run);
-  if (run == nullptr) return LeaseStatus::kGoesOn;
+  if (run == nullptr) return LeaseStatus::kHeld;
   run->stop.Answered(answered);
   if (answered) {
     run->answered_at = ctx.now();
@@ -142,7 +142,7 @@
   } else {
     MissAnswer(ctx, runner);
   }
-  return LeaseStatus::kGoesOn;
+  return LeaseStatus::kHeld;
 }
 
 void Scheduler::EndRun(Context& ctx, Runner* runner, const TaskName& name,
@@ -210,21 +210,21 @@
 
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
                                          const RunnerLooked& answer) {
-  if (answer.epoch != writer_.epoch()) return LeaseStatus::kGoesOn;
+  if (answer.epoch != writer_.epoch()) return LeaseStatus::kHeld;
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
   // Another look may have left since, on a hint that another life is there.
   const bool is_newest =
       runner != nullptr && answer.number == runner->look_number;
-  if (!is_newest) return LeaseStatus::kGoesOn;
+  if (!is_newest) return LeaseStatus::kHeld;
   runner->look_in_flight = false;
   if (answer.outcome == OrderOutcome::kOtherLife) {
     EndAll(ctx, runner, "another life answers at its address");
-    return LeaseStatus::kGoesOn;
+    return LeaseStatus::kHeld;
   }
   if (answer.outcome != OrderOutcome::kDone) {
     MissLook(ctx, runner, answer.outcome);
-    return LeaseStatus::kGoesOn;
+    return LeaseStatus::kHeld;
   }
   // What left after a life was heard is answered by that one or a later one.
   if (answer.start_time != runner->incarnation().start_time) {
@@ -244,7 +244,7 @@
   ForgetUnwanted(runner, answer.running);
   // What is not listed as running may be among the ends that are left.
   if (all_taken) TakeAbsent(ctx, runner, answer);
-  return LeaseStatus::kGoesOn;
+  return LeaseStatus::kHeld;
 }
 
 bool Scheduler::TakeEnds(Context& ctx, Runner* runner,
