--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -393,7 +393,7 @@
 
 void SoakPlatform::OnLook(const emulator::EmulatedRunner& runner,
                           const dispatch::PollRunner& look,
-                          const dispatch::RunnerLooked& answer) {
+                          const dispatch::RunnerPolled& answer) {
   oracle_.NoteLook(look, answer, [&](std::int64_t end) {
     const bool same_life = runner.info().id == look.target.incarnation.runner;
     return same_life && !runner.LapsedSince(end);
--- a/soak/soak_platform.h
+++ b/soak/soak_platform.h
@@ -112,7 +112,7 @@
                const dispatch::StartRun& order) override;
   void OnLook(const emulator::EmulatedRunner& runner,
               const dispatch::PollRunner& look,
-              const dispatch::RunnerLooked& answer) override;
+              const dispatch::RunnerPolled& answer) override;
   void OnUnread(const std::vector<dispatch::ListedEnd>& ends) override {
     oracle_.NoteUnread(ends);
   }
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -126,7 +126,7 @@
 
 const char* ToString(OrderOutcome outcome);
 
-struct RunnerLooked {
+struct RunnerPolled {
   /// The life that was to be looked at.
   IncarnationId asked;
   LookNumber number;
@@ -216,7 +216,7 @@
 
 using EventBody =
     std::variant<Woken, TransactionAnswered, RowsAnswered, ChangesAnswered,
-                 CatalogAnswered, RunnersListed, RunnerLooked, StartAnswered,
+                 CatalogAnswered, RunnersListed, RunnerPolled, StartAnswered,
                  StopAnswered, AdviceAnswered, PeerAnswered, CallArrived,
                  StopAsked, SettingsReloaded, StateAsked>;
 
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -166,7 +166,7 @@
   if (scheduler_ != nullptr) scheduler_->Handle(ctx, event);
 }
 
-void Node::Handle(Context& ctx, const RunnerLooked& event) {
+void Node::Handle(Context& ctx, const RunnerPolled& event) {
   if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
 }
 
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -84,7 +84,7 @@
   void Handle(Context& ctx, const ChangesAnswered& event);
   void Handle(Context& ctx, const CatalogAnswered& event);
   void Handle(Context& ctx, const RunnersListed& event);
-  void Handle(Context& ctx, const RunnerLooked& event);
+  void Handle(Context& ctx, const RunnerPolled& event);
   void Handle(Context& ctx, const StartAnswered& event);
   void Handle(Context& ctx, const StopAnswered& event);
   void Handle(Context& ctx, const AdviceAnswered& event);
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -150,7 +150,7 @@
   void Handle(Context& ctx, const RowsAnswered& answer);
   void Handle(Context& ctx, const ChangesAnswered& answer);
   void Handle(Context& ctx, const RunnersListed& answer);
-  LeaseStatus Handle(Context& ctx, const RunnerLooked& answer);
+  LeaseStatus Handle(Context& ctx, const RunnerPolled& answer);
   LeaseStatus Handle(Context& ctx, const StartAnswered& answer);
   LeaseStatus Handle(Context& ctx, const StopAnswered& answer);
   void Handle(Context& ctx, const AdviceAnswered& answer);
@@ -281,15 +281,15 @@
   };
   static NextLifeRole RoleOf(TimePoint now, const Runner& before,
                              const TaskName& name, const Run& run,
-                             const RunnerLooked& answer);
+                             const RunnerPolled& answer);
   /// Another life of the runner answered: ends the one before, which must not
   /// be used any more, and returns the next.
-  Runner* BeginLife(Context& ctx, Runner* before, const RunnerLooked& answer);
+  Runner* BeginLife(Context& ctx, Runner* before, const RunnerPolled& answer);
   /// Puts the next life in its place, with the runs that it may hold.
   Runner* CarryOver(Context& ctx, Runner* before,
                     const std::vector<TaskName>& moved,
                     const std::vector<TaskName>& to_bar,
-                    const RunnerLooked& answer);
+                    const RunnerPolled& answer);
   /// Ends the object of the life before; returns that of the next, which no run
   /// is on yet.
   Runner* PutNextLife(TimePoint now, Runner* before, StartTime start_time);
@@ -338,7 +338,7 @@
   /// Moves a run off a runner that turned slow, if that gains time.
   void MoveFromSlow(Context& ctx, Runner* runner, const TaskName& name,
                     const Run& run, Duration left, Duration expected);
-  void TakeAbsent(Context& ctx, Runner* runner, const RunnerLooked& answer);
+  void TakeAbsent(Context& ctx, Runner* runner, const RunnerPolled& answer);
   /// Ends a run that its runner neither runs nor ended.
   void EndUnlisted(Context& ctx, Runner* runner, const TaskName& name);
   /// Takes in what a run's end tells of its runner.
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -22,7 +22,7 @@
 
 namespace {
 
-bool Names(const RunnerLooked& answer, const TaskName& name, int number) {
+bool Names(const RunnerPolled& answer, const TaskName& name, int number) {
   const auto is_it = [&](const auto& listed) {
     return listed.task == name && listed.run == number;
   };
@@ -34,7 +34,7 @@
 
 Scheduler::NextLifeRole Scheduler::RoleOf(TimePoint now, const Runner& before,
                                           const TaskName& name, const Run& run,
-                                          const RunnerLooked& answer) {
+                                          const RunnerPolled& answer) {
   if (NeverBegan(run.phase)) return NextLifeRole::kNeverWas;
   if (Names(answer, name, run.number)) return NextLifeRole::kIsThere;
   // Judged by the life that it was stored for.
@@ -46,7 +46,7 @@
 }
 
 Runner* Scheduler::BeginLife(Context& ctx, Runner* before,
-                             const RunnerLooked& answer) {
+                             const RunnerPolled& answer) {
   const IncarnationId old_life = before->incarnation();
   std::vector<TaskName> never;
   std::vector<TaskName> lost;
@@ -93,7 +93,7 @@
 Runner* Scheduler::CarryOver(Context& ctx, Runner* before,
                              const std::vector<TaskName>& moved,
                              const std::vector<TaskName>& to_bar,
-                             const RunnerLooked& answer) {
+                             const RunnerPolled& answer) {
   // Ending runs may have ended members of their gangs here.
   const auto those_there = [before](const std::vector<TaskName>& names) {
     std::vector<std::pair<TaskName, Run>> runs;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -209,7 +209,7 @@
 }
 
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
-                                         const RunnerLooked& answer) {
+                                         const RunnerPolled& answer) {
   if (answer.epoch != writer_.epoch()) return LeaseStatus::kHeld;
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
@@ -389,7 +389,7 @@
 }
 
 void Scheduler::TakeAbsent(Context& ctx, Runner* runner,
-                           const RunnerLooked& answer) {
+                           const RunnerPolled& answer) {
   std::set<TaskName> running;
   for (const ListedRun& run : answer.running) running.insert(run.task);
   std::vector<TaskName> lost;
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -58,7 +58,7 @@
 
 void EmulatedSystem::LoseLook(int node, int incarnation,
                               const dispatch::PollRunner& look) {
-  dispatch::RunnerLooked lost;
+  dispatch::RunnerPolled lost;
   lost.asked = look.target.incarnation;
   lost.number = look.number;
   lost.epoch = look.target.epoch;
@@ -76,7 +76,7 @@
   const auto at = runner_at_.find(look.target.address);
   if (at == runner_at_.end() || !Hears(at->second)) return;
   EmulatedRunner* runner = FindRunner(at->second);
-  const dispatch::RunnerLooked answer = runner->Look(look);
+  const dispatch::RunnerPolled answer = runner->Look(look);
   const std::vector<dispatch::ListedEnd> unread = runner->TakeUnreadEnds();
   // A call that comes to a later life than it was meant for can't be taken
   // back: what that life forgets by it breaks no promise.
@@ -86,7 +86,7 @@
 }
 
 void EmulatedSystem::NoteLook(const dispatch::PollRunner& look,
-                              const dispatch::RunnerLooked& answer,
+                              const dispatch::RunnerPolled& answer,
                               const EmulatedRunner& runner) {
   oracle_.NoteLook(look, answer, [&](std::int64_t end) {
     const bool same_runner = runner.info().id == look.target.incarnation.runner;
@@ -100,7 +100,7 @@
                                 const dispatch::IncarnationId& waits_at) {
   DropIfCrashed(look.target.address);
   const RunnerId& id = look.target.incarnation.runner;
-  dispatch::RunnerLooked answer;
+  dispatch::RunnerPolled answer;
   answer.asked = look.target.incarnation;
   answer.number = look.number;
   answer.epoch = look.target.epoch;
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -295,8 +295,8 @@
   return !ended_.empty() && ended_.back().number > acknowledged;
 }
 
-dispatch::RunnerLooked EmulatedRunner::Look(const dispatch::PollRunner& look) {
-  dispatch::RunnerLooked answer;
+dispatch::RunnerPolled EmulatedRunner::Look(const dispatch::PollRunner& look) {
+  dispatch::RunnerPolled answer;
   answer.asked = look.target.incarnation;
   answer.number = look.number;
   answer.start_time = info_.start_time;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -282,7 +282,7 @@
   void CarryOutLate(const dispatch::PollRunner& look);
   /// Tells the oracle of a look that a runner answered.
   void NoteLook(const dispatch::PollRunner& look,
-                const dispatch::RunnerLooked& answer,
+                const dispatch::RunnerPolled& answer,
                 const EmulatedRunner& runner);
   /// How late an order without an answer is carried out.
   Duration LateBy();
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -163,7 +163,7 @@
 }
 
 void PromiseOracle::NoteLook(const dispatch::PollRunner& look,
-                             const dispatch::RunnerLooked& answer,
+                             const dispatch::RunnerPolled& answer,
                              const std::function<bool(std::int64_t)>& stands) {
   auto& listed = listed_[{look.target.incarnation.runner, answer.start_time}];
   // What the look tells as known is taken note of.
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -98,7 +98,7 @@
   /// A runner answered a look. `stands`: the runner's lease has not run out
   /// since it listed the end of that number.
   void NoteLook(const dispatch::PollRunner& look,
-                const dispatch::RunnerLooked& answer,
+                const dispatch::RunnerPolled& answer,
                 const std::function<bool(std::int64_t)>& stands);
   /// A life of a runner was told that those ends are known, though it never
   /// listed them: it has forgotten what nobody read.
--- a/test/promise-oracle-test.cc
+++ b/test/promise-oracle-test.cc
@@ -45,7 +45,7 @@
     dispatch::PollRunner look;
     look.target.incarnation.runner = runner;
     look.acknowledged_end = known;
-    dispatch::RunnerLooked answer;
+    dispatch::RunnerPolled answer;
     answer.ended = ends;
     oracle.NoteLook(look, answer, [stands](std::int64_t) { return stands; });
   }
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -89,7 +89,7 @@
   CHECK_FALSE(DecodeCatalog(R"({"version":"x"})").ok());
   CHECK_FALSE(DecodeRunner(RunnerId("i"), R"({"room":5})").ok());
   CHECK_FALSE(DecodeRows(R"({"rows":[5]})").ok());
-  dispatch::RunnerLooked looked;
+  dispatch::RunnerPolled looked;
   CHECK_FALSE(DecodeLook(R"({"clock-ms":1,"running":[5]})", &looked).ok());
 }
 
@@ -108,7 +108,7 @@
 }
 
 TEST(Wire, LookListsRunsAndEnds) {
-  dispatch::RunnerLooked looked;
+  dispatch::RunnerPolled looked;
   const auto status = DecodeLook(
       R"({"clock-ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"ck",41]],)"
       R"("ended":[[58,"5c0e7a21d94b36f8.0.1.9",1,"broken",""]]})",
@@ -123,7 +123,7 @@
 }
 
 TEST(Wire, LookTellsTheLifeThatAnswers) {
-  dispatch::RunnerLooked looked;
+  dispatch::RunnerPolled looked;
   CHECK_TRUE(
       DecodeLook(R"({"clock-ms":1,"born":1791244478514})", &looked).ok());
   CHECK_TRUE(looked.start_time == dispatch::StartTime(1791244478514));
