--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -378,13 +378,13 @@
   return runner.listed() || MayHaveLapsed(now);
 }
 
-std::vector<Seat> Fleet::Seats(TimePoint now,
-                               const std::set<HallId>& emptied_halls) const {
-  std::vector<Seat> seats;
+std::vector<Candidate> Fleet::Seats(
+    TimePoint now, const std::set<HallId>& emptied_halls) const {
+  std::vector<Candidate> seats;
   for (const auto& [id, runner] : runners_) {
     if (!MayWork(*runner, now)) continue;
     if (emptied_halls.count(runner->info().hall) != 0) continue;
-    Seat seat;
+    Candidate seat;
     seat.runner = runner.get();
     seat.rack = runner->rack();
     seat.room = runner->free_room();
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -145,8 +145,8 @@
   static OrderTarget TargetOf(const Runner& runner, Epoch epoch);
   /// Runners that may be given work now, but for those in halls that are to be
   /// emptied.
-  std::vector<Seat> Seats(TimePoint now,
-                          const std::set<HallId>& emptied_halls = {}) const;
+  std::vector<Candidate> Seats(
+      TimePoint now, const std::set<HallId>& emptied_halls = {}) const;
   /// False while a new scheduler waits for its first answers from runners: the
   /// room that it sees then is only a part of what there is.
   bool KnowsFreeRoom(TimePoint now) const;
--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -20,7 +20,7 @@
 // Urgent work passes over runners that usually take this much longer.
 constexpr double kLeisurelyRunner = 1.07;
 
-int LimitPerSeat(const PlacementRequest& request, const Seat& seat) {
+int LimitPerSeat(const PlacementRequest& request, const Candidate& seat) {
   const int most = seat.may_fail_at_once ? 1 : std::numeric_limits<int>::max();
   const int limit = request.step->max_per_runner;
   if (limit <= 0) return most;
@@ -32,7 +32,7 @@
 /// How far a runner is trusted; those named first are taken first.
 enum class Trust { kSound, kLeisurely, kSlow, kSuspect, kAvoided };
 
-Trust TrustOf(const Seat& seat, const PlacementRequest& request) {
+Trust TrustOf(const Candidate& seat, const PlacementRequest& request) {
   const bool avoided = request.avoided != nullptr &&
                        !request.avoided->empty() &&
                        request.avoided->count(seat.runner->incarnation()) != 0;
@@ -45,17 +45,17 @@
 }
 
 /// The least trusted of the seats.
-Trust LeastTrustOf(const std::vector<Seat*>& seats,
+Trust LeastTrustOf(const std::vector<Candidate*>& seats,
                    const PlacementRequest& request) {
   Trust least = Trust::kSound;
-  for (const Seat* seat : seats) {
+  for (const Candidate* seat : seats) {
     least = std::max(least, TrustOf(*seat, request));
   }
   return least;
 }
 
 /// True if the step's data lies elsewhere.
-bool IsFar(const Seat& seat, const StepSpec& step) {
+bool IsFar(const Candidate& seat, const StepSpec& step) {
   return !step.data_rack.empty() &&
          seat.runner->info().labels.count(step.data_rack) == 0;
 }
@@ -70,7 +70,7 @@
 }
 
 /// What is at risk if the request's tasks crash their runners.
-std::int64_t RiskOf(const Seat& seat, const PlacementRequest& request) {
+std::int64_t RiskOf(const Candidate& seat, const PlacementRequest& request) {
   return request.is_suspect ? seat.work_at_risk : 0;
 }
 
@@ -80,7 +80,7 @@
 using Waste =
     std::tuple<std::int64_t, Fitness, std::int64_t, std::int64_t, std::int64_t>;
 
-Waste WasteOf(const Seat& seat, const PlacementRequest& request,
+Waste WasteOf(const Candidate& seat, const PlacementRequest& request,
               std::int64_t rack_room) {
   const Resources& need = request.step->need;
   return {RiskOf(seat, request),
@@ -90,9 +90,10 @@
 }
 
 /// True if any of the seats is.
-bool AnyIsFar(const std::vector<Seat*>& seats, const StepSpec& step) {
-  return std::any_of(seats.begin(), seats.end(),
-                     [&step](const Seat* seat) { return IsFar(*seat, step); });
+bool AnyIsFar(const std::vector<Candidate*>& seats, const StepSpec& step) {
+  return std::any_of(
+      seats.begin(), seats.end(),
+      [&step](const Candidate* seat) { return IsFar(*seat, step); });
 }
 
 }  // namespace
@@ -109,7 +110,7 @@
   return static_cast<int>(count);
 }
 
-bool Seating::Suits(const Seat& seat, const PlacementRequest& request) {
+bool Seating::Suits(const Candidate& seat, const PlacementRequest& request) {
   const RunnerInfo& info = seat.runner->info();
   const StepSpec& step = *request.step;
   if (seat.on_probation || (seat.may_fail_at_once && seat.tried)) return false;
@@ -133,9 +134,9 @@
   return LimitPerSeat(request, seat) > 0;
 }
 
-Seating::Seating(std::vector<Seat> seats) : seats_(std::move(seats)) {
+Seating::Seating(std::vector<Candidate> seats) : seats_(std::move(seats)) {
   std::unordered_map<std::string_view, std::size_t> numbers;
-  for (Seat& seat : seats_) {
+  for (Candidate& seat : seats_) {
     seat.rack_number = numbers.emplace(seat.rack, numbers.size()).first->second;
     rack_room_.resize(numbers.size());
     rack_room_[seat.rack_number] += seat.room.accelerators;
@@ -144,7 +145,7 @@
 
 bool Seating::FitsTimes(const PlacementRequest& request, int times) const {
   int left = request.count * times;
-  for (const Seat& seat : seats_) {
+  for (const Candidate& seat : seats_) {
     if (left <= 0) break;
     if (!Suits(seat, request)) continue;
     const int limit = std::min(left, LimitPerSeat(request, seat));
@@ -153,7 +154,7 @@
   return left <= 0;
 }
 
-void Seating::Take(Seat* seat, const StepSpec& step, bool is_suspect) {
+void Seating::Take(Candidate* seat, const StepSpec& step, bool is_suspect) {
   seat->room -= step.room();
   seat->tried = true;
   if (is_suspect) seat->on_probation = true;
@@ -162,11 +163,11 @@
   if (step.sharing() == Sharing::kServes) ++seat->serving;
 }
 
-Seat* Seating::PlaceOne(const PlacementRequest& request) {
-  Seat* best = nullptr;
+Candidate* Seating::PlaceOne(const PlacementRequest& request) {
+  Candidate* best = nullptr;
   Waste best_waste;
   const Resources need = request.step->room();
-  for (Seat& seat : seats_) {
+  for (Candidate& seat : seats_) {
     if (!need.Fits(seat.room) || !Suits(seat, request)) continue;
     const Waste waste = WasteOf(seat, request, rack_room_[seat.rack_number]);
     if (best != nullptr && !(waste < best_waste)) continue;
@@ -177,20 +178,20 @@
   return best;
 }
 
-std::vector<Seat*> Seating::PlaceAmong(const PlacementRequest& request,
-                                       const std::vector<Seat*>& seats) {
+std::vector<Candidate*> Seating::PlaceAmong(
+    const PlacementRequest& request, const std::vector<Candidate*>& seats) {
   const Resources need = request.step->room();
   if (seats.empty()) return {};
   // A seat's place in the order is worked out once, which is most of the cost.
-  std::vector<std::pair<Waste, Seat*>> order;
-  for (Seat* seat : seats) {
+  std::vector<std::pair<Waste, Candidate*>> order;
+  for (Candidate* seat : seats) {
     if (!need.Fits(seat->room)) continue;
     order.emplace_back(WasteOf(*seat, request, rack_room_[seat->rack_number]),
                        seat);
   }
   std::sort(order.begin(), order.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
-  std::vector<Seat*> chosen;
+  std::vector<Candidate*> chosen;
   for (const auto& [waste, seat] : order) {
     const int left = request.count - static_cast<int>(chosen.size());
     const int limit = std::min(left, LimitPerSeat(request, *seat));
@@ -201,30 +202,30 @@
   return {};
 }
 
-std::vector<Seat*> Seating::PlaceAll(const PlacementRequest& request) {
+std::vector<Candidate*> Seating::PlaceAll(const PlacementRequest& request) {
   const Resources need = request.step->room();
-  std::vector<std::vector<Seat*>> racks(rack_room_.size());
-  std::vector<Seat*> all;
-  for (Seat& seat : seats_) {
+  std::vector<std::vector<Candidate*>> racks(rack_room_.size());
+  std::vector<Candidate*> all;
+  for (Candidate& seat : seats_) {
     if (!need.Fits(seat.room) || !Suits(seat, request)) continue;
     racks[seat.rack_number].push_back(&seat);
     all.push_back(&seat);
   }
-  std::vector<Seat*> best;
+  std::vector<Candidate*> best;
   // The fittest runners, then the fullest rack that fits, so that emptier ones
   // stay whole.
   std::tuple<std::int64_t, Fitness, bool, std::int64_t> best_cost;
-  for (const std::vector<Seat*>& seats : racks) {
-    std::vector<Seat*> chosen = PlaceAmong(request, seats);
+  for (const std::vector<Candidate*>& seats : racks) {
+    std::vector<Candidate*> chosen = PlaceAmong(request, seats);
     if (chosen.empty()) continue;
     // A gang is as slow as its slowest member, and fails with any of them.
     const Fitness fitness = FitnessOf(LeastTrustOf(chosen, request),
                                       AnyIsFar(chosen, *request.step));
-    const Seat& first = *seats.front();
+    const Candidate& first = *seats.front();
     const bool preferred =
         first.urgent_rack && request.urgent_racks == UrgentRacks::kPreferred;
     std::int64_t risk = 0;
-    for (const Seat* seat : chosen) risk += RiskOf(*seat, request);
+    for (const Candidate* seat : chosen) risk += RiskOf(*seat, request);
     const std::tuple<std::int64_t, Fitness, bool, std::int64_t> cost = {
         risk, fitness, !preferred, rack_room_[first.rack_number]};
     if (!best.empty() && cost >= best_cost) continue;
@@ -233,7 +234,7 @@
   }
   const bool one_rack_only = request.step->same_rack && !request.anywhere;
   if (best.empty() && !one_rack_only) best = PlaceAmong(request, all);
-  for (Seat* seat : best) Take(seat, *request.step, request.is_suspect);
+  for (Candidate* seat : best) Take(seat, *request.step, request.is_suspect);
   return best;
 }
 
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -19,7 +19,7 @@
 namespace limeledge::dispatch {
 
 /// A runner as one pass sees it.
-struct Seat {
+struct Candidate {
   Runner* runner = nullptr;
   std::string rack;
   /// The same rack as a number from 0; set by the seating.
@@ -86,31 +86,31 @@
 /// Thread safety: none; lives for one pass.
 class Seating {
  public:
-  explicit Seating(std::vector<Seat> seats);
+  explicit Seating(std::vector<Candidate> seats);
 
   std::size_t racks() const { return rack_room_.size(); }
 
-  std::vector<Seat>& seats() { return seats_; }
-  const std::vector<Seat>& seats() const { return seats_; }
+  std::vector<Candidate>& seats() { return seats_; }
+  const std::vector<Candidate>& seats() const { return seats_; }
 
   /// One seat for each of `count` tasks, or none at all. Takes their room.
-  std::vector<Seat*> PlaceAll(const PlacementRequest& request);
+  std::vector<Candidate*> PlaceAll(const PlacementRequest& request);
   /// The best seat for one task; null if it fits nowhere. Takes its room.
-  Seat* PlaceOne(const PlacementRequest& request);
+  Candidate* PlaceOne(const PlacementRequest& request);
 
   /// True if suitable runners have room for the request's tasks so many times
   /// over, were nothing kept free for others.
   bool FitsTimes(const PlacementRequest& request, int times) const;
 
   /// True if the seat is one that the request allows, whatever its room.
-  static bool Suits(const Seat& seat, const PlacementRequest& request);
+  static bool Suits(const Candidate& seat, const PlacementRequest& request);
 
  private:
-  std::vector<Seat*> PlaceAmong(const PlacementRequest& request,
-                                const std::vector<Seat*>& seats);
-  void Take(Seat* seat, const StepSpec& step, bool is_suspect);
+  std::vector<Candidate*> PlaceAmong(const PlacementRequest& request,
+                                     const std::vector<Candidate*>& seats);
+  void Take(Candidate* seat, const StepSpec& step, bool is_suspect);
 
-  std::vector<Seat> seats_;
+  std::vector<Candidate> seats_;
   /// Free accelerators of each rack, by its number.
   std::vector<std::int64_t> rack_room_;
 };
--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -82,7 +82,7 @@
         job->step_spec(assignment.task.step).need.accelerators;
   }
   IdleRoom room;
-  for (const Seat& seat : seating_.seats()) {
+  for (const Candidate& seat : seating_.seats()) {
     const std::int64_t idle = std::max<std::int64_t>(
         0, seat.runner->free_room().accelerators - assigned[seat.runner]);
     const std::int64_t open =
--- a/src/dispatch/planner_pass.h
+++ b/src/dispatch/planner_pass.h
@@ -40,12 +40,12 @@
  private:
   /// Seats for all tasks of a step, and how long until the last is free.
   struct ComingRoom {
-    std::vector<Seat*> seats;
+    std::vector<Candidate*> seats;
     Duration until;
   };
   /// Room for one task on a seat, and what it costs to have it.
   struct Opening {
-    Seat* seat = nullptr;
+    Candidate* seat = nullptr;
     std::int64_t cost = 0;
     std::vector<TaskName> victims;
   };
@@ -130,12 +130,13 @@
   std::optional<PlacementRequest> WithUrgentRacks(
       const Unit& unit, const PlacementRequest& request, int tasks) const;
   /// As in `Seating`, and in the urgent racks where there is no other room.
-  Seat* PlaceOne(const Unit& unit, const PlacementRequest& request);
-  std::vector<Seat*> PlaceAll(const Unit& unit,
-                              const PlacementRequest& request);
+  Candidate* PlaceOne(const Unit& unit, const PlacementRequest& request);
+  std::vector<Candidate*> PlaceAll(const Unit& unit,
+                                   const PlacementRequest& request);
   /// True if the step is about to miss its objective, or has missed it.
   bool IsShortOfTime(const Unit& unit) const;
-  void Assign(const Unit& unit, int index, int run, Seat* seat, bool spread);
+  void Assign(const Unit& unit, int index, int run, Candidate* seat,
+              bool spread);
 
   // Room for what does not fit.
   /// For what did not fit: keeps room that was made, displaces others, or
@@ -156,23 +157,23 @@
   /// of workspaces that are beyond theirs.
   bool MayDisplace(const Unit& unit, const TaskName& name, const Run& run);
   /// Openings on one seat in rising cost, at most `limit`.
-  std::vector<Opening> OpeningsOn(const Unit& unit, Seat* seat, int limit);
+  std::vector<Opening> OpeningsOn(const Unit& unit, Candidate* seat, int limit);
   /// The same in rows, so that no row costs less for each task than the one
   /// before it.
-  std::vector<OpeningRow> OpeningRowsOn(const Unit& unit, Seat* seat,
+  std::vector<OpeningRow> OpeningRowsOn(const Unit& unit, Candidate* seat,
                                         int limit);
   /// The cheapest openings among `seats`; empty if there are not enough.
   std::vector<Opening> CheapestOpenings(const Unit& unit,
-                                        const std::vector<Seat*>& seats,
+                                        const std::vector<Candidate*>& seats,
                                         const PlacementRequest& request);
   /// The suitable seats that the step's tasks may share: by rack, and all.
-  std::map<std::string, std::vector<Seat*>> GroupSeats(
+  std::map<std::string, std::vector<Candidate*>> GroupSeats(
       const Unit& unit, const PlacementRequest& request);
   /// Displaces what costs least, if that makes room for the whole step.
   WaitReason Displace(const Unit& unit, const PlacementRequest& request);
   /// The fillers on a seat that still go on; false if one of them may not be
   /// stopped.
-  bool ListFillers(const Seat& seat, std::vector<TaskName>* fillers);
+  bool ListFillers(const Candidate& seat, std::vector<TaskName>* fillers);
   /// Stops the fillers on runners that a serving step needs.
   WaitReason ClearOfFillers(const Unit& unit, const PlacementRequest& request);
   /// Stops the victims, and claims their room for the step.
@@ -182,15 +183,15 @@
   bool KeepForGang(const Unit& unit, const PlacementRequest& request);
   /// Where among `seats` there is room for the whole gang soonest; nothing if
   /// it never fits.
-  std::optional<ComingRoom> SoonestRoom(const std::vector<Seat*>& seats,
+  std::optional<ComingRoom> SoonestRoom(const std::vector<Candidate*>& seats,
                                         const PlacementRequest& request);
   /// The same among the groups of seats that the gang's tasks may share: where
   /// it is done soonest, `until` being when it is.
   std::optional<ComingRoom> SoonestDone(const Unit& unit,
                                         const PlacementRequest& request);
   /// When the seat will have room for each further task.
-  void AddComingPlaces(Seat* seat, const PlacementRequest& request,
-                       std::vector<std::pair<Duration, Seat*>>* places);
+  void AddComingPlaces(Candidate* seat, const PlacementRequest& request,
+                       std::vector<std::pair<Duration, Candidate*>>* places);
   void DropOldClaims();
 
   Planner& planner_;
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -85,7 +85,7 @@
   AdviceWish wish;
   wish.step = unit.key;
   std::vector<IncarnationId> full;
-  for (const Seat& seat : seating_.seats()) {
+  for (const Candidate& seat : seating_.seats()) {
     if (!Seating::Suits(seat, request)) continue;
     const bool fits = unit.spec->room().Fits(seat.room);
     (fits ? wish.runners : full).push_back(seat.runner->incarnation());
@@ -123,7 +123,7 @@
   request->is_suspect = true;
   if (knows_risks_) return;
   knows_risks_ = true;
-  for (Seat& seat : seating_.seats()) {
+  for (Candidate& seat : seating_.seats()) {
     for (const auto& [name, run] : seat.runner->runs()) {
       seat.work_at_risk += CostOf(name, run);
     }
@@ -137,7 +137,7 @@
   if (has_suspect) SpareOthers(request);
   request->is_last_attempt = MustNotFail(*unit, unit->step->gang_failures);
   if (IsDoneSoonerByWaiting(*unit, *request)) request->anywhere = false;
-  const std::vector<Seat*> seats = PlaceAll(*unit, *request);
+  const std::vector<Candidate*> seats = PlaceAll(*unit, *request);
   if (seats.empty()) {
     MakeRoom(*unit, *request);
     return;
@@ -145,7 +145,7 @@
   const int run = unit->job->NextRun({unit->key.job, unit->key.occurrence,
                                       unit->key.step, unit->waiting.front()});
   std::set<std::string> racks;
-  for (const Seat* seat : seats) racks.insert(seat->rack);
+  for (const Candidate* seat : seats) racks.insert(seat->rack);
   const bool far = unit->spec->same_rack && racks.size() > 1;
   for (std::size_t i = 0; i < seats.size(); ++i) {
     Assign(*unit, unit->waiting[i], run, seats[i], far);
@@ -155,7 +155,7 @@
 
 bool Planner::Pass::LeavesHeadroom(const Unit& unit, int tasks) const {
   Resources idle;
-  for (const Seat& seat : seating_.seats()) {
+  for (const Candidate& seat : seating_.seats()) {
     if (seat.urgent_rack) idle += seat.room;
   }
   const double share =
@@ -183,18 +183,18 @@
   return wider;
 }
 
-Seat* Planner::Pass::PlaceOne(const Unit& unit,
-                              const PlacementRequest& request) {
-  Seat* seat = seating_.PlaceOne(request);
+Candidate* Planner::Pass::PlaceOne(const Unit& unit,
+                                   const PlacementRequest& request) {
+  Candidate* seat = seating_.PlaceOne(request);
   if (seat != nullptr) return seat;
   const std::optional<PlacementRequest> wider =
       WithUrgentRacks(unit, request, 1);
   return wider.has_value() ? seating_.PlaceOne(*wider) : nullptr;
 }
 
-std::vector<Seat*> Planner::Pass::PlaceAll(const Unit& unit,
-                                           const PlacementRequest& request) {
-  std::vector<Seat*> seats = seating_.PlaceAll(request);
+std::vector<Candidate*> Planner::Pass::PlaceAll(
+    const Unit& unit, const PlacementRequest& request) {
+  std::vector<Candidate*> seats = seating_.PlaceAll(request);
   if (!seats.empty()) return seats;
   const std::optional<PlacementRequest> wider =
       WithUrgentRacks(unit, request, request.count);
@@ -239,7 +239,7 @@
         MustNotFail(*unit, unit->step->tasks[index].failures);
     // Others of the step may fit where last attempts must not go.
     const bool held_too = request->is_last_attempt && placed.held > 0;
-    Seat* seat = held_too ? nullptr : PlaceOne(*unit, *request);
+    Candidate* seat = held_too ? nullptr : PlaceOne(*unit, *request);
     if (seat == nullptr && request->is_last_attempt) {
       ++placed.held;
       continue;
@@ -261,8 +261,8 @@
          unit.spec->max_per_runner == 0;
 }
 
-void Planner::Pass::Assign(const Unit& unit, int index, int run, Seat* seat,
-                           bool spread) {
+void Planner::Pass::Assign(const Unit& unit, int index, int run,
+                           Candidate* seat, bool spread) {
   const StepSpec& spec = *unit.spec;
   const bool off_data = !spec.data_rack.empty() &&
                         seat->runner->info().labels.count(spec.data_rack) == 0;
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -85,7 +85,7 @@
 void Planner::Pass::Keep(const Unit& unit,
                          const std::vector<RunnerId>& runners) {
   for (const RunnerId& id : runners) {
-    for (Seat& seat : seating_.seats()) {
+    for (Candidate& seat : seating_.seats()) {
       if (seat.runner->id() == id) seat.room -= unit.spec->room();
     }
   }
@@ -119,7 +119,7 @@
 }
 
 std::vector<Planner::Pass::Opening> Planner::Pass::OpeningsOn(const Unit& unit,
-                                                              Seat* seat,
+                                                              Candidate* seat,
                                                               int limit) {
   const Resources need = unit.spec->room();
   std::vector<std::pair<std::int64_t, TaskName>> victims;
@@ -149,7 +149,7 @@
 }
 
 std::vector<Planner::Pass::OpeningRow> Planner::Pass::OpeningRowsOn(
-    const Unit& unit, Seat* seat, int limit) {
+    const Unit& unit, Candidate* seat, int limit) {
   std::vector<OpeningRow> rows;
   for (Opening& opening : OpeningsOn(unit, seat, limit)) {
     OpeningRow row;
@@ -170,14 +170,14 @@
 }
 
 std::vector<Planner::Pass::Opening> Planner::Pass::CheapestOpenings(
-    const Unit& unit, const std::vector<Seat*>& seats,
+    const Unit& unit, const std::vector<Candidate*>& seats,
     const PlacementRequest& request) {
   const int per_seat =
       request.step->max_per_runner > 0
           ? std::min(request.step->max_per_runner, request.count)
           : request.count;
   std::vector<OpeningRow> rows;
-  for (Seat* seat : seats) {
+  for (Candidate* seat : seats) {
     std::vector<OpeningRow> own = OpeningRowsOn(unit, seat, per_seat);
     rows.insert(rows.end(), std::make_move_iterator(own.begin()),
                 std::make_move_iterator(own.end()));
@@ -199,11 +199,11 @@
   return {};
 }
 
-std::map<std::string, std::vector<Seat*>> Planner::Pass::GroupSeats(
+std::map<std::string, std::vector<Candidate*>> Planner::Pass::GroupSeats(
     const Unit& unit, const PlacementRequest& request) {
-  std::map<std::string, std::vector<Seat*>> groups;
+  std::map<std::string, std::vector<Candidate*>> groups;
   const bool one_rack = unit.spec->gang && unit.spec->same_rack;
-  for (Seat& seat : seating_.seats()) {
+  for (Candidate& seat : seating_.seats()) {
     if (!Seating::Suits(seat, request)) continue;
     if (one_rack) groups[seat.rack].push_back(&seat);
     // The key of no rack: all of them.
@@ -230,7 +230,7 @@
   return WaitReason::kRoomIsMade;
 }
 
-bool Planner::Pass::ListFillers(const Seat& seat,
+bool Planner::Pass::ListFillers(const Candidate& seat,
                                 std::vector<TaskName>* fillers) {
   for (const auto& [name, run] : seat.runner->runs()) {
     if (run.sharing != Sharing::kFills || run.stopping) continue;
@@ -247,9 +247,9 @@
 WaitReason Planner::Pass::ClearOfFillers(const Unit& unit,
                                          const PlacementRequest& request) {
   std::vector<Opening> openings;
-  for (Seat& seat : seating_.seats()) {
+  for (Candidate& seat : seating_.seats()) {
     if (static_cast<int>(openings.size()) == request.count) break;
-    Seat cleared = seat;
+    Candidate cleared = seat;
     cleared.fillers = 0;
     if (seat.fillers == 0 || !Seating::Suits(cleared, request)) continue;
     Opening opening;
@@ -298,7 +298,7 @@
   const std::optional<ComingRoom> coming = SoonestDone(unit, request);
   if (!coming.has_value()) return false;
   ++kept_;
-  for (Seat* seat : coming->seats) seat->room -= unit.spec->room();
+  for (Candidate* seat : coming->seats) seat->room -= unit.spec->room();
   return true;
 }
 
@@ -318,9 +318,9 @@
 }
 
 std::optional<Planner::Pass::ComingRoom> Planner::Pass::SoonestRoom(
-    const std::vector<Seat*>& seats, const PlacementRequest& request) {
-  std::vector<std::pair<Duration, Seat*>> places;
-  for (Seat* seat : seats) AddComingPlaces(seat, request, &places);
+    const std::vector<Candidate*>& seats, const PlacementRequest& request) {
+  std::vector<std::pair<Duration, Candidate*>> places;
+  for (Candidate* seat : seats) AddComingPlaces(seat, request, &places);
   if (static_cast<int>(places.size()) < request.count) return std::nullopt;
   std::stable_sort(
       places.begin(), places.end(),
@@ -334,8 +334,8 @@
 }
 
 void Planner::Pass::AddComingPlaces(
-    Seat* seat, const PlacementRequest& request,
-    std::vector<std::pair<Duration, Seat*>>* places) {
+    Candidate* seat, const PlacementRequest& request,
+    std::vector<std::pair<Duration, Candidate*>>* places) {
   std::vector<std::pair<Duration, Resources>> ends;
   for (const auto& [name, run] : seat->runner->runs()) {
     ends.emplace_back(TimeLeft(run, now_), run.need);
--- a/src/dispatch/planner_units.cc
+++ b/src/dispatch/planner_units.cc
@@ -31,7 +31,7 @@
   std::int64_t runners = 0;
   std::int64_t all = 0;
   std::int64_t free = 0;
-  for (const Seat& seat : seating_.seats()) {
+  for (const Candidate& seat : seating_.seats()) {
     if (size_of_rack[seat.rack_number]++ == 0) {
       number_of_rack[seat.rack] = seat.rack_number;
     }
@@ -50,7 +50,7 @@
     if (left < -size / 2) break;
     is_urgent[number] = true;
   }
-  for (Seat& seat : seating_.seats()) {
+  for (Candidate& seat : seating_.seats()) {
     seat.urgent_rack = is_urgent[seat.rack_number];
     if (seat.urgent_rack) urgent_room_ += seat.runner->info().room;
   }
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -35,9 +35,9 @@
   }
 
   Seating Seats() {
-    std::vector<Seat> seats;
+    std::vector<Candidate> seats;
     for (const auto& runner : runners) {
-      Seat seat;
+      Candidate seat;
       seat.runner = runner.get();
       seat.rack = runner->rack();
       seat.room = runner->free_room();
@@ -103,7 +103,7 @@
   request.urgent_racks = UrgentRacks::kPreferred;
   Seating seating = Seats();
   seating.seats()[0].urgent_rack = true;
-  const std::vector<Seat*> seats = seating.PlaceAll(request);
+  const std::vector<Candidate*> seats = seating.PlaceAll(request);
   LONGS_EQUAL(2, seats.size());
   STRCMP_EQUAL("near", seats[0]->runner->id().value().c_str());
 }
@@ -187,9 +187,9 @@
   Seating seating = Seats();
   PlacementRequest request = Request(1);
   request.step = &filler;
-  const Seat* first = seating.PlaceOne(request);
+  const Candidate* first = seating.PlaceOne(request);
   request.step = &serving;
-  const Seat* second = seating.PlaceOne(request);
+  const Candidate* second = seating.PlaceOne(request);
   CHECK_TRUE(first != nullptr && second != nullptr && first != second);
   request.step = &filler;
   CHECK_TRUE(seating.PlaceOne(request) == first);
