--- a/src/dispatch/loss_book.h
+++ b/src/dispatch/loss_tracker.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_DISPATCH_LOSS_BOOK_H_
-#define LIMELEDGE_SRC_DISPATCH_LOSS_BOOK_H_
+#ifndef LIMELEDGE_SRC_DISPATCH_LOSS_TRACKER_H_
+#define LIMELEDGE_SRC_DISPATCH_LOSS_TRACKER_H_
 
 #include <deque>
 #include <map>
@@ -81,4 +81,4 @@
 
 }  // namespace limeledge::dispatch
 
-#endif  // LIMELEDGE_SRC_DISPATCH_LOSS_BOOK_H_
+#endif  // LIMELEDGE_SRC_DISPATCH_LOSS_TRACKER_H_
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -20,7 +20,7 @@
 #include "dispatch/fleet.h"
 #include "dispatch/job_book.h"
 #include "dispatch/job_cleaner.h"
-#include "dispatch/loss_book.h"
+#include "dispatch/loss_tracker.h"
 #include "dispatch/planner.h"
 #include "dispatch/state_writer.h"
 
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -5,7 +5,7 @@
 // SPDX-License-Identifier: MIT
 
 #include "CppUTest/TestHarness.h"
-#include "dispatch/loss_book.h"
+#include "dispatch/loss_tracker.h"
 #include "dispatch/row_codec.h"
 #include "dispatch/run_loss.h"
 
