--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -284,10 +284,10 @@
            {"open", std::to_string(room.open)}});
 }
 
-void Scheduler::NoteStoodStill(Context& ctx, Duration time) {
+void Scheduler::NoteProcessPause(Context& ctx, Duration time) {
   writer_.ConfirmFirst(ctx.now());
-  fleet_.NoteStoodStill();
-  advice_.NoteStoodStill(time);
+  fleet_.NoteProcessPause();
+  advice_.NoteProcessPause(time);
   ctx.Log(LogId::kStoodStill, {{"ms", std::to_string(time.ms())},
                                {"epoch", std::to_string(epoch().value())}});
 }
