--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -89,8 +89,8 @@
   CHECK_FALSE(DecodeCatalog(R"({"version":"x"})").ok());
   CHECK_FALSE(DecodeRunner(RunnerId("i"), R"({"room":5})").ok());
   CHECK_FALSE(DecodeRows(R"({"rows":[5]})").ok());
-  dispatch::RunnerPolled looked;
-  CHECK_FALSE(DecodeLook(R"({"clock-ms":1,"running":[5]})", &looked).ok());
+  dispatch::RunnerPolled polled;
+  CHECK_FALSE(DecodeLook(R"({"clock-ms":1,"running":[5]})", &polled).ok());
 }
 
 TEST(Wire, RunnerTellsItsRoomAndItsRack) {
@@ -108,28 +108,28 @@
 }
 
 TEST(Wire, LookListsRunsAndEnds) {
-  dispatch::RunnerPolled looked;
+  dispatch::RunnerPolled polled;
   const auto status = DecodeLook(
       R"({"clock-ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"ck",41]],)"
       R"("ended":[[58,"5c0e7a21d94b36f8.0.1.9",1,"broken",""]]})",
-      &looked);
+      &polled);
   CHECK_TRUE(status.ok());
-  LONGS_EQUAL(482113, looked.clock_ms);
-  CHECK_FALSE(dispatch::IsReported(looked.start_time));
-  LONGS_EQUAL(17, looked.running[0].task.index);
-  LONGS_EQUAL(41, looked.running[0].percent);
-  LONGS_EQUAL(58, looked.ended[0].number);
-  CHECK_TRUE(looked.ended[0].end == dispatch::RunEnd::kBroken);
+  LONGS_EQUAL(482113, polled.clock_ms);
+  CHECK_FALSE(dispatch::IsReported(polled.start_time));
+  LONGS_EQUAL(17, polled.running[0].task.index);
+  LONGS_EQUAL(41, polled.running[0].percent);
+  LONGS_EQUAL(58, polled.ended[0].number);
+  CHECK_TRUE(polled.ended[0].end == dispatch::RunEnd::kBroken);
 }
 
 TEST(Wire, LookTellsTheLifeThatAnswers) {
-  dispatch::RunnerPolled looked;
+  dispatch::RunnerPolled polled;
   CHECK_TRUE(
-      DecodeLook(R"({"clock-ms":1,"born":1791244478514})", &looked).ok());
-  CHECK_TRUE(looked.start_time == dispatch::StartTime(1791244478514));
+      DecodeLook(R"({"clock-ms":1,"born":1791244478514})", &polled).ok());
+  CHECK_TRUE(polled.start_time == dispatch::StartTime(1791244478514));
   for (const char* start_time : {"\"x\"", "1.5", "{}", "true"}) {
     const std::string text = std::string(R"({"born":)") + start_time + "}";
-    CHECK_FALSE_TEXT(DecodeLook(text, &looked).ok(), start_time);
+    CHECK_FALSE_TEXT(DecodeLook(text, &polled).ok(), start_time);
   }
 }
 
