--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -110,7 +110,8 @@
   return static_cast<int>(count);
 }
 
-bool Seating::Suits(const Candidate& seat, const PlacementRequest& request) {
+bool CandidatePool::Suits(const Candidate& seat,
+                          const PlacementRequest& request) {
   const RunnerInfo& info = seat.runner->info();
   const StepSpec& step = *request.step;
   if (seat.on_probation || (seat.may_fail_at_once && seat.tried)) return false;
@@ -134,7 +135,8 @@
   return LimitPerSeat(request, seat) > 0;
 }
 
-Seating::Seating(std::vector<Candidate> seats) : seats_(std::move(seats)) {
+CandidatePool::CandidatePool(std::vector<Candidate> seats)
+    : seats_(std::move(seats)) {
   std::unordered_map<std::string_view, std::size_t> numbers;
   for (Candidate& seat : seats_) {
     seat.rack_number = numbers.emplace(seat.rack, numbers.size()).first->second;
@@ -143,7 +145,8 @@
   }
 }
 
-bool Seating::FitsTimes(const PlacementRequest& request, int times) const {
+bool CandidatePool::FitsTimes(const PlacementRequest& request,
+                              int times) const {
   int left = request.count * times;
   for (const Candidate& seat : seats_) {
     if (left <= 0) break;
@@ -154,7 +157,8 @@
   return left <= 0;
 }
 
-void Seating::Take(Candidate* seat, const StepSpec& step, bool is_suspect) {
+void CandidatePool::Take(Candidate* seat, const StepSpec& step,
+                         bool is_suspect) {
   seat->room -= step.room();
   seat->tried = true;
   if (is_suspect) seat->on_probation = true;
@@ -163,7 +167,7 @@
   if (step.sharing() == Sharing::kServes) ++seat->serving;
 }
 
-Candidate* Seating::PlaceOne(const PlacementRequest& request) {
+Candidate* CandidatePool::PlaceOne(const PlacementRequest& request) {
   Candidate* best = nullptr;
   Waste best_waste;
   const Resources need = request.step->room();
@@ -178,7 +182,7 @@
   return best;
 }
 
-std::vector<Candidate*> Seating::PlaceAmong(
+std::vector<Candidate*> CandidatePool::PlaceAmong(
     const PlacementRequest& request, const std::vector<Candidate*>& seats) {
   const Resources need = request.step->room();
   if (seats.empty()) return {};
@@ -202,7 +206,8 @@
   return {};
 }
 
-std::vector<Candidate*> Seating::PlaceAll(const PlacementRequest& request) {
+std::vector<Candidate*> CandidatePool::PlaceAll(
+    const PlacementRequest& request) {
   const Resources need = request.step->room();
   std::vector<std::vector<Candidate*>> racks(rack_room_.size());
   std::vector<Candidate*> all;
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -84,9 +84,9 @@
 /// The runners that may be given work now.
 ///
 /// Thread safety: none; lives for one pass.
-class Seating {
+class CandidatePool {
  public:
-  explicit Seating(std::vector<Candidate> seats);
+  explicit CandidatePool(std::vector<Candidate> seats);
 
   std::size_t racks() const { return rack_room_.size(); }
 
--- a/src/dispatch/planner_pass.h
+++ b/src/dispatch/planner_pass.h
@@ -129,7 +129,8 @@
   /// would stay idle there beside so many tasks.
   std::optional<PlacementRequest> WithUrgentRacks(
       const Unit& unit, const PlacementRequest& request, int tasks) const;
-  /// As in `Seating`, and in the urgent racks where there is no other room.
+  /// As in `CandidatePool`, and in the urgent racks where there is no other
+  /// room.
   Candidate* PlaceOne(const Unit& unit, const PlacementRequest& request);
   std::vector<Candidate*> PlaceAll(const Unit& unit,
                                    const PlacementRequest& request);
@@ -202,7 +203,7 @@
   const RunTimes& times_;
   const AdviceBook& advice_;
   JobBook& jobs_;
-  Seating seating_;
+  CandidatePool seating_;
   std::set<JobId> entitled_;
   /// All room of the urgent racks, whatever is taken of it.
   Resources urgent_room_;
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -86,7 +86,7 @@
   wish.step = unit.key;
   std::vector<IncarnationId> full;
   for (const Candidate& seat : seating_.seats()) {
-    if (!Seating::Suits(seat, request)) continue;
+    if (!CandidatePool::Suits(seat, request)) continue;
     const bool fits = unit.spec->room().Fits(seat.room);
     (fits ? wish.runners : full).push_back(seat.runner->incarnation());
   }
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -204,7 +204,7 @@
   std::map<std::string, std::vector<Candidate*>> groups;
   const bool one_rack = unit.spec->gang && unit.spec->same_rack;
   for (Candidate& seat : seating_.seats()) {
-    if (!Seating::Suits(seat, request)) continue;
+    if (!CandidatePool::Suits(seat, request)) continue;
     if (one_rack) groups[seat.rack].push_back(&seat);
     // The key of no rack: all of them.
     if (!one_rack || request.anywhere) groups[""].push_back(&seat);
@@ -251,7 +251,7 @@
     if (static_cast<int>(openings.size()) == request.count) break;
     Candidate cleared = seat;
     cleared.fillers = 0;
-    if (seat.fillers == 0 || !Seating::Suits(cleared, request)) continue;
+    if (seat.fillers == 0 || !CandidatePool::Suits(cleared, request)) continue;
     Opening opening;
     opening.seat = &seat;
     if (!ListFillers(seat, &opening.victims)) continue;
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -34,7 +34,7 @@
     runners.push_back(std::make_unique<Runner>(info));
   }
 
-  Seating Seats() {
+  CandidatePool Seats() {
     std::vector<Candidate> seats;
     for (const auto& runner : runners) {
       Candidate seat;
@@ -43,7 +43,7 @@
       seat.room = runner->free_room();
       seats.push_back(std::move(seat));
     }
-    return Seating(std::move(seats));
+    return CandidatePool(std::move(seats));
   }
 
   PlacementRequest Request(int count) const {
@@ -58,7 +58,7 @@
 TEST(Placement, SingleTaskGoesWhereTheLeastIsLeft) {
   Add("large", "r1-1", 8);
   Add("small", "r1-1", 2);
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   STRCMP_EQUAL("small",
                seating.PlaceOne(Request(1))->runner->id().value().c_str());
 }
@@ -67,7 +67,7 @@
   Add("i-1", "r1-1", 4);
   Add("i-2", "r1-2", 4);
   step.need.accelerators = 2;
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   LONGS_EQUAL(0, seating.PlaceAll(Request(5)).size());
   LONGS_EQUAL(4, seating.PlaceAll(Request(4)).size());
 }
@@ -77,7 +77,7 @@
   Add("i-2", "r1-2", 4);
   step.need.accelerators = 4;
   step.same_rack = true;
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   PlacementRequest request = Request(2);
   LONGS_EQUAL(0, seating.PlaceAll(request).size());
   request.anywhere = true;
@@ -90,7 +90,7 @@
   step.data_rack = "r1-2";
   PlacementRequest request = Request(1);
   request.anywhere = true;
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   STRCMP_EQUAL("near", seating.PlaceOne(request)->runner->id().value().c_str());
 }
 
@@ -101,7 +101,7 @@
   PlacementRequest request = Request(2);
   request.anywhere = true;
   request.urgent_racks = UrgentRacks::kPreferred;
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   seating.seats()[0].urgent_rack = true;
   const std::vector<Candidate*> seats = seating.PlaceAll(request);
   LONGS_EQUAL(2, seats.size());
@@ -114,7 +114,7 @@
   step.data_rack = "r1-2";
   PlacementRequest request = Request(1);
   request.anywhere = true;
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   seating.seats()[1].suspect = true;
   STRCMP_EQUAL("far", seating.PlaceOne(request)->runner->id().value().c_str());
 }
@@ -124,7 +124,7 @@
   step.required_label = "b";
   PlacementRequest request = Request(1);
   request.anywhere = true;
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   POINTERS_EQUAL(nullptr, seating.PlaceOne(request));
 }
 
@@ -133,7 +133,7 @@
   step.max_per_runner = 2;
   PlacementRequest request = Request(1);
   request.used[RunnerId("i-1")] = 2;
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   POINTERS_EQUAL(nullptr, seating.PlaceOne(request));
 }
 
@@ -141,7 +141,7 @@
   Add("i-1", "r1-1", 8);
   PlacementRequest request = Request(1);
   request.urgent_racks = UrgentRacks::kClosed;
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   seating.seats()[0].urgent_rack = true;
   POINTERS_EQUAL(nullptr, seating.PlaceOne(request));
 }
@@ -150,7 +150,7 @@
   Add("slow", "r1-1", 2);
   Add("sound", "r1-1", 8);
   for (int i = 0; i < 5; ++i) runners[0]->NotePace(6, JobId("slow"));
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   STRCMP_EQUAL("sound",
                seating.PlaceOne(Request(1))->runner->id().value().c_str());
 }
@@ -161,7 +161,7 @@
   for (int i = 0; i < 30; ++i) runners[0]->NoteUsualPace(1.3);
   PlacementRequest request = Request(1);
   request.prefers_fast = true;
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   STRCMP_EQUAL("fast", seating.PlaceOne(request)->runner->id().value().c_str());
 }
 
@@ -171,7 +171,7 @@
   Run run;
   run.need = {64000, 1024, 1};
   runners[0]->Add({JobId("a"), 0, 0, 0}, run);
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   CHECK_TRUE(seating.PlaceOne(Request(1)) == nullptr);
   step.filler = true;
   CHECK_TRUE(seating.PlaceOne(Request(1)) != nullptr);
@@ -184,7 +184,7 @@
   filler.filler = true;
   StepSpec serving = step;
   serving.tail_target = Duration(50);
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   PlacementRequest request = Request(1);
   request.step = &filler;
   const Candidate* first = seating.PlaceOne(request);
@@ -199,7 +199,7 @@
   const std::vector<const char*> ids = {"avoided", "suspect", "slow",
                                         "trusted"};
   for (const char* id : ids) Add(id, "r1-1", 1);
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   seating.seats()[1].suspect = true;
   // Runs there take many times as long as expected.
   for (int i = 0; i < 10; ++i) {
@@ -217,7 +217,7 @@
 
 TEST(Placement, LastAttemptPassesOverARunnerThatMayFailIt) {
   Add("suspect", "r1-1", 8);
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   seating.seats()[0].suspect = true;
   PlacementRequest request = Request(1);
   request.is_last_attempt = true;
@@ -228,7 +228,7 @@
 
 TEST(Placement, RunnerThatFailedARunAtOnceIsTriedWithOne) {
   Add("broken", "r1-1", 8);
-  Seating seating = Seats();
+  CandidatePool seating = Seats();
   seating.seats()[0].may_fail_at_once = true;
   CHECK_TRUE(seating.PlaceAll(Request(2)).empty());
   CHECK_TRUE(seating.PlaceOne(Request(1)) != nullptr);
