--- a/src/dispatch/loss_book.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -4,11 +4,11 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
+#include "dispatch/loss_tracker.h"
+
 #include <algorithm>
 #include <utility>
 
-#include "dispatch/loss_tracker.h"
-
 namespace limeledge::dispatch {
 
 namespace {
