--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -27,7 +27,7 @@
 using Ticket = Number<struct TicketTag>;
 
 /// The moment that was asked for has come.
-struct Woken {};
+struct TimerFired {};
 
 struct TransactionAnswered {
   Ticket ticket;
@@ -215,7 +215,7 @@
 struct SettingsReloaded {};
 
 using EventBody =
-    std::variant<Woken, TransactionAnswered, RowsAnswered, ChangesAnswered,
+    std::variant<TimerFired, TransactionAnswered, RowsAnswered, ChangesAnswered,
                  CatalogAnswered, RunnersListed, RunnerPolled, StartAnswered,
                  StopAnswered, AdviceAnswered, PeerAnswered, CallArrived,
                  StopAsked, SettingsReloaded, StateAsked>;
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -119,7 +119,7 @@
   ctx.Log(ready ? LogId::kReady : LogId::kNotReady, {});
 }
 
-void Node::Handle(Context&, const Woken&) {}
+void Node::Handle(Context&, const TimerFired&) {}
 
 void Node::Handle(Context& ctx, const TransactionAnswered& event) {
   NoteStoreAnswer(event.ticket, event.outcome);
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -66,7 +66,7 @@
   /// while it works on one.
   Effects ReduceAll(TimePoint now, std::int64_t wall_ms,
                     const std::vector<EventBody>& events);
-  /// A `Woken` event is wanted at this moment, if nothing comes before.
+  /// A `TimerFired` event is wanted at this moment, if nothing comes before.
   TimePoint next_at() const;
 
   bool leads() const { return scheduler_ != nullptr; }
@@ -78,7 +78,7 @@
   TimePoint store_answered_at() const { return patience_.answered_at(); }
 
  private:
-  void Handle(Context& ctx, const Woken& event);
+  void Handle(Context& ctx, const TimerFired& event);
   void Handle(Context& ctx, const TransactionAnswered& event);
   void Handle(Context& ctx, const RowsAnswered& event);
   void Handle(Context& ctx, const ChangesAnswered& event);
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -95,7 +95,7 @@
   options.scheduler.book = options_.book;
   options.scheduler.losses = options_.losses;
   process.node = std::make_unique<dispatch::Node>(options);
-  Reduce(node, dispatch::Woken());
+  Reduce(node, dispatch::TimerFired());
 }
 
 void EmulatedSystem::KillNode(int node, Duration down) {
@@ -187,7 +187,7 @@
     if (later.incarnation == incarnation && later.woken_for == next) {
       later.woken_for = TimePoint();
     }
-    Deliver(node, incarnation, dispatch::Woken());
+    Deliver(node, incarnation, dispatch::TimerFired());
   });
 }
 
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -39,7 +39,7 @@
 
   /// Puts a configuration in force; returns the effects.
   Effects ReadCatalog() {
-    Reduce(Woken());
+    Reduce(TimerFired());
     CatalogAnswered answer;
     answer.outcome = StoreOutcome::kDone;
     answer.catalog = Catalog();
@@ -72,7 +72,7 @@
 }
 
 TEST(Node, NodeWithoutConfigurationSleepsWhileItIsRead) {
-  Reduce(Woken());
+  Reduce(TimerFired());
   CHECK_TRUE(node.next_at() > now + Duration(10000));
 }
 
@@ -99,7 +99,7 @@
 }
 
 TEST(Node, CallBeforeAnyConfigurationIsNotTaken) {
-  Reduce(Woken());
+  Reduce(TimerFired());
   CallArrived call;
   call.kind = CallKind::kSubmit;
   const auto answers = Only<AnswerCall>(Reduce(call));
@@ -123,7 +123,7 @@
   CHECK_TRUE(Only<Exit>(Reduce(done)).empty());
   CHECK_FALSE(node.leads());
   now = now + Duration(3000);
-  LONGS_EQUAL(1, Only<Exit>(Reduce(Woken())).size());
+  LONGS_EQUAL(1, Only<Exit>(Reduce(TimerFired())).size());
 }
 
 // A process whose hand-over the store did not take was killed at the end of
@@ -136,10 +136,10 @@
   lost.outcome = StoreOutcome::kUnknown;
   Reduce(lost);
   now = now + Duration(3000);
-  CHECK_TRUE(Only<Exit>(Reduce(Woken())).empty());
+  CHECK_TRUE(Only<Exit>(Reduce(TimerFired())).empty());
   CHECK_TRUE(node.next_at() <= now + Duration(2000));
   now = now + Duration(2000);
-  LONGS_EQUAL(1, Only<Exit>(Reduce(Woken())).size());
+  LONGS_EQUAL(1, Only<Exit>(Reduce(TimerFired())).size());
 }
 
 }  // namespace limeledge::dispatch
