--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -60,7 +60,7 @@
   int quick_failure_percent = 5;
   /// Others are used first for so long after a run failed on a runner: longer
   /// than runners that fail all they start usually do so.
-  Duration suspicion{8000};
+  Duration failure_penalty{8000};
   /// A run whose progress stands still for this long is moved elsewhere.
   Duration stall_patience{3000};
   /// More patience for long runs: the expected time of so many percent, since
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -45,7 +45,7 @@
 
 void Scheduler::JudgeFailed(Context& ctx, Runner* runner, const JobId& job,
                             bool at_once) {
-  runner->suspect_until = ctx.now() + options_.suspicion;
+  runner->suspect_until = ctx.now() + options_.failure_penalty;
   runner->failed_at = ctx.now();
   if (at_once) {
     runner->failed_at_once = true;
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -42,7 +42,7 @@
       {"urgent-headroom", &planner.urgent_headroom},
       {"late-headroom", &planner.late_headroom},
       {"urgent-victim-weight", &planner.urgent_victim_weight},
-      {"suspicion", &scheduler.suspicion},
+      {"suspicion", &scheduler.failure_penalty},
       {"quick-failure-percent", &scheduler.quick_failure_percent},
       {"unwell-pause", &scheduler.unwell_pause},
       {"stall-patience", &scheduler.stall_patience},
