--- a/soak/soak_platform.h
+++ b/soak/soak_platform.h
@@ -111,7 +111,7 @@
   void OnStart(const emulator::EmulatedRunner& runner,
                const dispatch::StartRun& order) override;
   void OnLook(const emulator::EmulatedRunner& runner,
-              const dispatch::PollRunner& look,
+              const dispatch::PollRunner& poll,
               const dispatch::RunnerPolled& answer) override;
   void OnUnread(const std::vector<dispatch::ListedEnd>& ends) override {
     oracle_.NoteUnread(ends);
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -324,16 +324,16 @@
 
 void Fleet::LookAt(Context& ctx, Runner* runner, Epoch epoch, bool may_renew,
                    bool all_runs_known) {
-  PollRunner look;
-  look.target = TargetOf(*runner, epoch);
-  look.number = newest_look_ = newest_look_.Next();
+  PollRunner poll;
+  poll.target = TargetOf(*runner, epoch);
+  poll.number = newest_look_ = newest_look_.Next();
   // A look that is lost may be carried out late, by a next life that counts its
   // ends anew. So ends are told as known once, to a life that was heard just
   // now.
   const bool tells =
       runner->reachable() && runner->AcknowledgedEnd() > runner->told_end &&
       ctx.now() - runner->heard_at() <= options_.tell_ends_within;
-  look.acknowledged_end = tells ? runner->AcknowledgedEnd() : 0;
+  poll.acknowledged_end = tells ? runner->AcknowledgedEnd() : 0;
   // A look at a silent runner may arrive unheard: renewing by it would put off
   // for ever the moment at which its runs are surely over.
   // An end that is told as known after the lease ran out is not taken as told.
@@ -343,16 +343,16 @@
   const bool renew = may_renew && runner->reachable() && leased &&
                      runner->MayBeGranted(ctx.now());
   if (renew) {
-    look.until_ms = runner->GrantUntil(ctx.now(), options_.run_lease);
+    poll.until_ms = runner->GrantUntil(ctx.now(), options_.run_lease);
   }
   // The first look tells the runner's clock, which a renewal needs.
-  look.wait = runner->reachable() ? WaitFor(*runner) : Duration(0);
+  poll.wait = runner->reachable() ? WaitFor(*runner) : Duration(0);
   runner->look_in_flight = true;
-  runner->look_number = look.number;
+  runner->look_number = poll.number;
   runner->look_grants = renew;
-  runner->look_tells = look.acknowledged_end;
+  runner->look_tells = poll.acknowledged_end;
   runner->look_sent_at = ctx.now();
-  ctx.Emit(std::move(look));
+  ctx.Emit(std::move(poll));
 }
 
 TimePoint Fleet::next_at() const {
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -37,32 +37,32 @@
 
 }  // namespace
 
-void EmulatedSystem::Perform(int node, const dispatch::PollRunner& look) {
+void EmulatedSystem::Perform(int node, const dispatch::PollRunner& poll) {
   CheckMayAct(node, "looks at a runner");
   const int incarnation = processes_[node].incarnation;
   ++looks_;
   if (Happens(faults_.looks_lost)) {
-    LoseLook(node, incarnation, look);
+    LoseLook(node, incarnation, poll);
     return;
   }
   if (Happens(faults_.looks_late)) {
-    LoseLook(node, incarnation, look);
-    At(now_ + LateBy(), [this, look] { CarryOutLate(look); });
+    LoseLook(node, incarnation, poll);
+    At(now_ + LateBy(), [this, poll] { CarryOutLate(poll); });
     return;
   }
-  At(now_ + options_.network, [this, node, incarnation, look] {
-    AnswerLook(node, incarnation, look, now_ + look.wait,
+  At(now_ + options_.network, [this, node, incarnation, poll] {
+    AnswerLook(node, incarnation, poll, now_ + poll.wait,
                dispatch::IncarnationId());
   });
 }
 
 void EmulatedSystem::LoseLook(int node, int incarnation,
-                              const dispatch::PollRunner& look) {
+                              const dispatch::PollRunner& poll) {
   dispatch::RunnerPolled lost;
-  lost.asked = look.target.incarnation;
-  lost.number = look.number;
-  lost.epoch = look.target.epoch;
-  At(now_ + look.wait + kOrderTimeout,
+  lost.asked = poll.target.incarnation;
+  lost.number = poll.number;
+  lost.epoch = poll.target.epoch;
+  At(now_ + poll.wait + kOrderTimeout,
      [this, node, incarnation, lost] { Deliver(node, incarnation, lost); });
 }
 
@@ -71,40 +71,40 @@
       Chance() * static_cast<double>(faults_.late_order.ms())));
 }
 
-void EmulatedSystem::CarryOutLate(const dispatch::PollRunner& look) {
-  DropIfCrashed(look.target.address);
-  const auto at = runner_at_.find(look.target.address);
+void EmulatedSystem::CarryOutLate(const dispatch::PollRunner& poll) {
+  DropIfCrashed(poll.target.address);
+  const auto at = runner_at_.find(poll.target.address);
   if (at == runner_at_.end() || !Hears(at->second)) return;
   EmulatedRunner* runner = FindRunner(at->second);
-  const dispatch::RunnerPolled answer = runner->Look(look);
+  const dispatch::RunnerPolled answer = runner->Look(poll);
   const std::vector<dispatch::ListedEnd> unread = runner->TakeUnreadEnds();
   // A call that comes to a later life than it was meant for can't be taken
   // back: what that life forgets by it breaks no promise.
-  if (look.target.incarnation != runner->info().incarnation()) return;
+  if (poll.target.incarnation != runner->info().incarnation()) return;
   oracle_.NoteUnread(unread);
-  NoteLook(look, answer, *runner);
+  NoteLook(poll, answer, *runner);
 }
 
-void EmulatedSystem::NoteLook(const dispatch::PollRunner& look,
+void EmulatedSystem::NoteLook(const dispatch::PollRunner& poll,
                               const dispatch::RunnerPolled& answer,
                               const EmulatedRunner& runner) {
-  oracle_.NoteLook(look, answer, [&](std::int64_t end) {
-    const bool same_runner = runner.info().id == look.target.incarnation.runner;
+  oracle_.NoteLook(poll, answer, [&](std::int64_t end) {
+    const bool same_runner = runner.info().id == poll.target.incarnation.runner;
     return same_runner && !runner.LapsedSince(end);
   });
 }
 
 void EmulatedSystem::AnswerLook(int node, int incarnation,
-                                const dispatch::PollRunner& look,
+                                const dispatch::PollRunner& poll,
                                 TimePoint until,
                                 const dispatch::IncarnationId& waits_at) {
-  DropIfCrashed(look.target.address);
-  const RunnerId& id = look.target.incarnation.runner;
+  DropIfCrashed(poll.target.address);
+  const RunnerId& id = poll.target.incarnation.runner;
   dispatch::RunnerPolled answer;
-  answer.asked = look.target.incarnation;
-  answer.number = look.number;
-  answer.epoch = look.target.epoch;
-  const auto at = runner_at_.find(look.target.address);
+  answer.asked = poll.target.incarnation;
+  answer.number = poll.number;
+  answer.epoch = poll.target.epoch;
+  const auto at = runner_at_.find(poll.target.address);
   if (at == runner_at_.end() || !Hears(id) || !Hears(at->second)) {
     const bool dead = at == runner_at_.end() && Reaches(id);
     answer.outcome = dead ? OrderOutcome::kNotSent : OrderOutcome::kLost;
@@ -126,19 +126,19 @@
     return;
   }
   // The lease is renewed when the look comes, not when it is answered.
-  answer = runner->Look(look);
+  answer = runner->Look(poll);
   oracle_.NoteUnread(runner->TakeUnreadEnds());
   const bool waits = answer.outcome == OrderOutcome::kDone && now_ < until &&
-                     !runner->HasNewEnds(look.acknowledged_end);
+                     !runner->HasNewEnds(poll.acknowledged_end);
   if (waits) {
-    dispatch::PollRunner rest = look;
+    dispatch::PollRunner rest = poll;
     rest.until_ms = 0;
     At(now_ + kLookStep, [this, node, incarnation, rest, until, there] {
       AnswerLook(node, incarnation, rest, until, there);
     });
     return;
   }
-  NoteLook(look, answer, *runner);
+  NoteLook(poll, answer, *runner);
   At(now_ + options_.network,
      [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
 }
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -295,25 +295,25 @@
   return !ended_.empty() && ended_.back().number > acknowledged;
 }
 
-dispatch::RunnerPolled EmulatedRunner::Look(const dispatch::PollRunner& look) {
+dispatch::RunnerPolled EmulatedRunner::Look(const dispatch::PollRunner& poll) {
   dispatch::RunnerPolled answer;
-  answer.asked = look.target.incarnation;
-  answer.number = look.number;
+  answer.asked = poll.target.incarnation;
+  answer.number = poll.number;
   answer.start_time = info_.start_time;
-  answer.epoch = look.target.epoch;
+  answer.epoch = poll.target.epoch;
   answer.clock_ms = clock_ms();
   answer.outcome = OrderOutcome::kDone;
-  if (look.target.incarnation.runner != info_.id) {
+  if (poll.target.incarnation.runner != info_.id) {
     answer.outcome = OrderOutcome::kOtherLife;
     return answer;
   }
-  if (!Obeys(look.target.epoch)) {
+  if (!Obeys(poll.target.epoch)) {
     answer.outcome = OrderOutcome::kFenced;
     return answer;
   }
   if (!first_look_at_.has_value()) first_look_at_ = now_;
-  if (look.until_ms > 0) Grant(look.until_ms);
-  ForgetEnds(look.acknowledged_end);
+  if (poll.until_ms > 0) Grant(poll.until_ms);
+  ForgetEnds(poll.acknowledged_end);
   const std::size_t count = std::min(ended_.size(), kEndsAtOnce);
   answer.ended.assign(ended_.begin(),
                       ended_.begin() + static_cast<std::ptrdiff_t>(count));
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -246,7 +246,7 @@
   /// Answers once the list has changed, or when the wait is over.
   void FollowRunners(int node, int incarnation,
                      const dispatch::ListRunners& effect, TimePoint until);
-  void Perform(int node, const dispatch::PollRunner& look);
+  void Perform(int node, const dispatch::PollRunner& poll);
   void Perform(int node, const dispatch::StartRun& start);
   void Perform(int node, const dispatch::StopRun& stop);
   void Perform(int node, const dispatch::AskAdvice& ask);
@@ -274,14 +274,14 @@
               TimePoint until);
   /// The whole catalog, or the news that nothing changed.
   void AnswerCatalog(int node, Duration after, bool whole);
-  void AnswerLook(int node, int incarnation, const dispatch::PollRunner& look,
+  void AnswerLook(int node, int incarnation, const dispatch::PollRunner& poll,
                   TimePoint until, const dispatch::IncarnationId& waits_at);
   /// The look gets no answer.
-  void LoseLook(int node, int incarnation, const dispatch::PollRunner& look);
+  void LoseLook(int node, int incarnation, const dispatch::PollRunner& poll);
   /// A look that got no answer comes to whatever runner is there by now.
-  void CarryOutLate(const dispatch::PollRunner& look);
+  void CarryOutLate(const dispatch::PollRunner& poll);
   /// Tells the oracle of a look that a runner answered.
-  void NoteLook(const dispatch::PollRunner& look,
+  void NoteLook(const dispatch::PollRunner& poll,
                 const dispatch::RunnerPolled& answer,
                 const EmulatedRunner& runner);
   /// How late an order without an answer is carried out.
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -162,12 +162,12 @@
   }
 }
 
-void PromiseOracle::NoteLook(const dispatch::PollRunner& look,
+void PromiseOracle::NoteLook(const dispatch::PollRunner& poll,
                              const dispatch::RunnerPolled& answer,
                              const std::function<bool(std::int64_t)>& stands) {
-  auto& listed = listed_[{look.target.incarnation.runner, answer.start_time}];
+  auto& listed = listed_[{poll.target.incarnation.runner, answer.start_time}];
   // What the look tells as known is taken note of.
-  while (!listed.empty() && listed.begin()->first <= look.acknowledged_end) {
+  while (!listed.empty() && listed.begin()->first <= poll.acknowledged_end) {
     const ListedEnd end = listed.begin()->second;
     listed.erase(listed.begin());
     // Its lease was over meanwhile, so that the task may run elsewhere.
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -92,7 +92,7 @@
     Context ctx = NewContext();
     fleet.Look(ctx, Epoch(1), true, true);
     for (const Effect& effect : effects) {
-      if (const auto* look = std::get_if<PollRunner>(&effect)) return *look;
+      if (const auto* poll = std::get_if<PollRunner>(&effect)) return *poll;
     }
     return std::nullopt;
   }
@@ -136,9 +136,9 @@
   Runner* runner = AddRunner("i-1");
   AddRun(runner);
   runner->Heard(now, 500000);
-  const std::optional<PollRunner> look = Look();
-  CHECK_TRUE(look.has_value());
-  LONGS_EQUAL(500000 + FleetOptions().run_lease.ms(), look->until_ms);
+  const std::optional<PollRunner> poll = Look();
+  CHECK_TRUE(poll.has_value());
+  LONGS_EQUAL(500000 + FleetOptions().run_lease.ms(), poll->until_ms);
 }
 
 // A runner that was gone for good was looked at with a renewal again and
@@ -152,9 +152,9 @@
   runner->look_in_flight = false;
   runner->Missed(now);
   now = now + Duration(2000);
-  const std::optional<PollRunner> look = Look();
-  CHECK_TRUE(look.has_value());
-  LONGS_EQUAL(0, look->until_ms);
+  const std::optional<PollRunner> poll = Look();
+  CHECK_TRUE(poll.has_value());
+  LONGS_EQUAL(0, poll->until_ms);
   CHECK_TRUE(over == runner->lease_over_at());
 }
 
@@ -174,8 +174,8 @@
   fleet.Look(first, Epoch(1), true, true);
   LONGS_EQUAL(FleetOptions().first_looks, effects.size());
   CHECK_TRUE(fleet.next_at() > now);
-  const auto* look = std::get_if<PollRunner>(&effects.front());
-  Runner* answered = fleet.Find(look->target.incarnation);
+  const auto* poll = std::get_if<PollRunner>(&effects.front());
+  Runner* answered = fleet.Find(poll->target.incarnation);
   answered->look_in_flight = false;
   answered->Heard(now, 1000);
   answered->next_look_at = now + Duration(500);
@@ -342,10 +342,10 @@
   listed.runners.front().start_time = StartTime(1700);
   Context ctx = NewContext();
   fleet.Handle(ctx, listed);
-  const auto look = Look();
-  CHECK_TRUE(look.has_value());
+  const auto poll = Look();
+  CHECK_TRUE(poll.has_value());
   // The list alone ends no life.
-  CHECK_TRUE(look->target.incarnation ==
+  CHECK_TRUE(poll->target.incarnation ==
              IncarnationId(RunnerId("i-1"), StartTime()));
   CHECK_TRUE(runner->reachable());
   // Once is enough: the entry may be old.
--- a/test/promise-oracle-test.cc
+++ b/test/promise-oracle-test.cc
@@ -42,12 +42,12 @@
   /// The runner lists an end, and is told that ends up to `known` are known.
   void Look(std::int64_t known, const std::vector<ListedEnd>& ends,
             bool stands = true) {
-    dispatch::PollRunner look;
-    look.target.incarnation.runner = runner;
-    look.acknowledged_end = known;
+    dispatch::PollRunner poll;
+    poll.target.incarnation.runner = runner;
+    poll.acknowledged_end = known;
     dispatch::RunnerPolled answer;
     answer.ended = ends;
-    oracle.NoteLook(look, answer, [stands](std::int64_t) { return stands; });
+    oracle.NoteLook(poll, answer, [stands](std::int64_t) { return stands; });
   }
 
   /// The first task's run goes on at a moment; returns what was broken so far.
