--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -51,7 +51,7 @@
   Duration press_margin{2500};
   /// Room that was made for a step is kept for it this long: the longest stop
   /// (0.4 to 0.9 s), and some for the news of it.
-  Duration claim_time{1300};
+  Duration reservation_time{1300};
   /// Work that can not be done within this many times its objective earns
   /// nothing and goes last.
   int worthless_after = 3;
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -25,7 +25,7 @@
                              const PlacementRequest& request) {
   const auto claim = planner_.claims_.find(unit.key);
   if (claim != planner_.claims_.end()) {
-    const TimePoint end = claim->second.since + options_.claim_time;
+    const TimePoint end = claim->second.since + options_.reservation_time;
     if (now_ < end) {
       WakeAt(end);
       Keep(unit, claim->second.runners);
@@ -280,7 +280,7 @@
           {victim, runner.incarnation(), unit.key.job});
     }
   }
-  WakeAt(now_ + options_.claim_time);
+  WakeAt(now_ + options_.reservation_time);
   Keep(unit, claim.runners);
   planner_.claims_[unit.key] = std::move(claim);
 }
@@ -362,7 +362,7 @@
 
 void Planner::Pass::DropOldClaims() {
   for (auto it = planner_.claims_.begin(); it != planner_.claims_.end();) {
-    const bool old = now_ - it->second.since > options_.claim_time * 2;
+    const bool old = now_ - it->second.since > options_.reservation_time * 2;
     it = old ? planner_.claims_.erase(it) : std::next(it);
   }
 }
--- a/src/dispatch/planner_units.cc
+++ b/src/dispatch/planner_units.cc
@@ -146,7 +146,7 @@
   unit->rank.entitled = entitled_.count(spec.id) != 0;
   unit->rank.guarantee_runs_out =
       unit->rank.entitled &&
-      now_ - unit->step->ready_since >= options_.claim_time;
+      now_ - unit->step->ready_since >= options_.reservation_time;
   unit->rank.name = unit->key;
   unit->rank.priority = unit->policy.priority;
   unit->rank.accepted_wall_ms = spec.accepted_wall_ms;
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -34,7 +34,7 @@
       {"gang-patience", &planner.gang_patience},
       {"kept-gangs", &planner.kept_gangs},
       {"press-margin", &planner.press_margin},
-      {"claim-time", &planner.claim_time},
+      {"claim-time", &planner.reservation_time},
       {"worthless-after", &planner.worthless_after},
       {"overdue-after", &planner.overdue_after},
       {"urgent-share", &planner.urgent_share},
--- a/test/planning-test.cc
+++ b/test/planning-test.cc
@@ -112,7 +112,7 @@
 // Patience and a claim alone were longer than the guarantee.
 TEST(Planning, UrgentStartAfterAClaimThatCameToNothingKeepsTheGuarantee) {
   const dispatch::PlannerOptions planner;
-  const Duration waits = planner.urgent_patience + planner.claim_time;
+  const Duration waits = planner.urgent_patience + planner.reservation_time;
   // Longest stop and guarantee of the users' deployments.
   CHECK_TRUE(waits + Duration(900) < Duration(3400));
   CHECK_TRUE(waits + Duration(400) < Duration(2900));
