--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -32,8 +32,8 @@
       }));
 }
 
-void LossBook::NoteOpen(const TaskName& task, const RunLoss& loss,
-                        StartTime listed, TimePoint now) {
+void LossTracker::NoteOpen(const TaskName& task, const RunLoss& loss,
+                           StartTime listed, TimePoint now) {
   const auto [it, added] = open_.emplace(loss.incarnation, Open());
   if (added) {
     it->second.address = loss.address;
@@ -43,7 +43,7 @@
   it->second.tasks.insert(task);
 }
 
-std::vector<TaskName> LossBook::Close(const IncarnationId& incarnation) {
+std::vector<TaskName> LossTracker::Close(const IncarnationId& incarnation) {
   const auto found = open_.find(incarnation);
   if (found == open_.end()) return {};
   const std::set<TaskName> tasks = std::move(found->second.tasks);
@@ -51,8 +51,8 @@
   return {tasks.begin(), tasks.end()};
 }
 
-std::vector<IncarnationId> LossBook::LostAt(const std::string& address,
-                                            const IncarnationId& living) const {
+std::vector<IncarnationId> LossTracker::LostAt(
+    const std::string& address, const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
   for (const auto& [incarnation, open] : open_) {
     if (address.empty() || open.address != address) continue;
@@ -64,7 +64,7 @@
   return lost;
 }
 
-std::vector<IncarnationId> LossBook::LostBefore(
+std::vector<IncarnationId> LossTracker::LostBefore(
     const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
   for (const auto& [incarnation, open] : open_) {
@@ -74,7 +74,7 @@
   return lost;
 }
 
-std::vector<IncarnationId> LossBook::Overdue(TimePoint now) const {
+std::vector<IncarnationId> LossTracker::Overdue(TimePoint now) const {
   std::vector<IncarnationId> overdue;
   for (const auto& [incarnation, open] : open_) {
     if (now - open.since >= rules_.longest_doubt)
@@ -83,12 +83,12 @@
   return overdue;
 }
 
-void LossBook::NoteRunnerLost(LostRunner lost) {
+void LossTracker::NoteRunnerLost(LostRunner lost) {
   lost_.push_back(std::move(lost));
   if (lost_.size() > kMostLost) lost_.pop_front();
 }
 
-std::vector<LostRunner> LossBook::LostAround(TimePoint moment) const {
+std::vector<LostRunner> LossTracker::LostAround(TimePoint moment) const {
   std::vector<LostRunner> around;
   for (const LostRunner& lost : lost_) {
     const bool same_moment = lost.silent_since <= moment + rules_.same_moment &&
--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -38,9 +38,9 @@
 /// Remembers runners that were lost. Pure bookkeeping.
 ///
 /// Thread safety: none; use it from one thread.
-class LossBook {
+class LossTracker {
  public:
-  explicit LossBook(const LossRules& rules) : rules_(rules) {}
+  explicit LossTracker(const LossRules& rules) : rules_(rules) {}
 
   /// Notes a lost run whose runner may still live. Noted twice, it counts once.
   /// `listed`: the birth that the runner's entry told then, which may be that
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -368,7 +368,7 @@
   JobBook book_;
   JobCleaner cleaner_;
   Fleet fleet_;
-  LossBook losses_;
+  LossTracker losses_;
   RunTimes times_;
   AdviceBook advice_;
   Planner planner_;
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -14,7 +14,7 @@
 class RunLossFixture : public Utest {
  public:
   LossRules rules;
-  LossBook book{rules};
+  LossTracker book{rules};
   const TaskName task{JobId("j"), 0, 0, 0};
 
   /// A life of a runner that tells no births, unless one is given.
