--- a/src/dispatch/desk.cc
+++ b/src/dispatch/desk.cc
@@ -232,7 +232,7 @@
   calls_[pending.read.ticket] = std::move(pending);
 }
 
-void Desk::Handle(Context& ctx, const TransactionAnswered& answer,
+void Desk::Handle(Context& ctx, const CommitCompleted& answer,
                   bool store_answers) {
   auto entry = calls_.extract(answer.ticket);
   Pending pending = std::move(entry.mapped());
@@ -277,7 +277,7 @@
 }
 
 void Desk::TakeSubmit(Context& ctx, const Pending& pending,
-                      const TransactionAnswered& answer) {
+                      const CommitCompleted& answer) {
   for (const Row& row : answer.rows) {
     if (row.key.key != pending.job.value()) continue;
     if (SameJob(row.value, pending.stored_spec)) {
--- a/src/dispatch/desk.h
+++ b/src/dispatch/desk.h
@@ -51,8 +51,7 @@
   /// `store_answers` as above: a call that was sent twice without an answer
   /// goes on only while others are answered. Callers that were held to the end
   /// of their time by a store that is away could not come back any more.
-  void Handle(Context& ctx, const TransactionAnswered& answer,
-              bool store_answers);
+  void Handle(Context& ctx, const CommitCompleted& answer, bool store_answers);
   void Handle(Context& ctx, const RowsAnswered& answer, bool store_answers);
 
   /// Takes in why the store does not answer, as far as that is known.
@@ -107,7 +106,7 @@
   /// How long the next sending may take.
   Duration BoundOf(TimePoint now, const Pending& pending) const;
   void TakeSubmit(Context& ctx, const Pending& pending,
-                  const TransactionAnswered& answer);
+                  const CommitCompleted& answer);
   /// Notes whose a stored job is, and answers its submit.
   void Accept(Context& ctx, const Pending& pending, const std::string& message);
   void TakeProgress(Context& ctx, Pending pending, const RowsAnswered& answer);
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -29,7 +29,7 @@
 /// The moment that was asked for has come.
 struct TimerFired {};
 
-struct TransactionAnswered {
+struct CommitCompleted {
   Ticket ticket;
   StoreOutcome outcome = StoreOutcome::kUnknown;
   /// Revision of what was written.
@@ -215,7 +215,7 @@
 struct SettingsReloaded {};
 
 using EventBody =
-    std::variant<TimerFired, TransactionAnswered, RowsAnswered, ChangesAnswered,
+    std::variant<TimerFired, CommitCompleted, RowsAnswered, ChangesAnswered,
                  CatalogAnswered, RunnersListed, RunnerPolled, StartAnswered,
                  StopAnswered, AdviceAnswered, PeerAnswered, CallArrived,
                  StopAsked, SettingsReloaded, StateAsked>;
--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -47,7 +47,7 @@
   ctx.Emit(std::move(commit));
 }
 
-void JobCleaner::Handle(Context& ctx, const TransactionAnswered& answer,
+void JobCleaner::Handle(Context& ctx, const CommitCompleted& answer,
                         JobBook* book, StateWriter* writer) {
   under_way_ = false;
   if (answer.outcome != StoreOutcome::kDone) {
--- a/src/dispatch/job_cleaner.h
+++ b/src/dispatch/job_cleaner.h
@@ -46,7 +46,7 @@
 
   bool Owns(Ticket ticket) const { return under_way_ && call_ == ticket; }
   /// Takes in the answer of the removal under way.
-  void Handle(Context& ctx, const TransactionAnswered& answer, JobBook* book,
+  void Handle(Context& ctx, const CommitCompleted& answer, JobBook* book,
               StateWriter* writer);
 
  private:
--- a/src/dispatch/leadership.cc
+++ b/src/dispatch/leadership.cc
@@ -123,7 +123,7 @@
 }
 
 std::optional<Leadership::Claimed> Leadership::Handle(
-    Context& ctx, const TransactionAnswered& answer) {
+    Context& ctx, const CommitCompleted& answer) {
   // A lost answer shows at the next reading.
   Wait(ctx.now(), options_.poll_interval);
   if (answer.outcome != StoreOutcome::kDone) return std::nullopt;
--- a/src/dispatch/leadership.h
+++ b/src/dispatch/leadership.h
@@ -64,8 +64,7 @@
   void Handle(Context& ctx, const RowsAnswered& answer);
   /// Takes in the answer to a claim; returns the lease if it is now this
   /// node's.
-  std::optional<Claimed> Handle(Context& ctx,
-                                const TransactionAnswered& answer);
+  std::optional<Claimed> Handle(Context& ctx, const CommitCompleted& answer);
   /// True if `ticket` is that of the call under way.
   bool Owns(Ticket ticket) const { return call_ == ticket; }
 
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -121,7 +121,7 @@
 
 void Node::Handle(Context&, const TimerFired&) {}
 
-void Node::Handle(Context& ctx, const TransactionAnswered& event) {
+void Node::Handle(Context& ctx, const CommitCompleted& event) {
   NoteStoreAnswer(event.ticket, event.outcome);
   if (desk_.Owns(event.ticket)) {
     desk_.Handle(ctx, event, StoreAnswers());
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -98,7 +98,7 @@
   ctx.Emit(std::move(read));
 }
 
-void PeerCheck::Handle(Context& ctx, const TransactionAnswered& answer) {
+void PeerCheck::Handle(Context& ctx, const CommitCompleted& answer) {
   call_under_way_ = false;
   const bool done = answer.outcome == StoreOutcome::kDone;
   if (done) stale_.clear();
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -71,7 +71,7 @@
   /// Takes in the peers that were read.
   void Handle(Context& ctx, const RowsAnswered& answer);
   /// Takes in the end of a renewal.
-  void Handle(Context& ctx, const TransactionAnswered& answer);
+  void Handle(Context& ctx, const CommitCompleted& answer);
   /// Takes in what a peer tells of the store.
   void Handle(Context& ctx, const PeerAnswered& answer);
 
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -57,7 +57,7 @@
 }
 
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
-                                         const TransactionAnswered& answer) {
+                                         const CommitCompleted& answer) {
   if (!cleaner_.Owns(answer.ticket)) {
     return VerdictOf(writer_.Handle(ctx, answer));
   }
--- a/src/dispatch/state_writer.cc
+++ b/src/dispatch/state_writer.cc
@@ -139,7 +139,7 @@
 }
 
 StateWriter::Verdict StateWriter::Handle(Context& ctx,
-                                         const TransactionAnswered& answer) {
+                                         const CommitCompleted& answer) {
   switch (answer.outcome) {
     case StoreOutcome::kDone:
       Stored(ctx, answer.revision);
--- a/src/dispatch/state_writer.h
+++ b/src/dispatch/state_writer.h
@@ -70,7 +70,7 @@
   enum class Verdict { kGoesOn, kDeposed, kReleased };
   bool Owns(Ticket ticket) const { return in_flight_ && call_ == ticket; }
   /// Takes in the answer of the write under way.
-  Verdict Handle(Context& ctx, const TransactionAnswered& answer);
+  Verdict Handle(Context& ctx, const CommitCompleted& answer);
 
   /// The process stood still until `now`, and another may schedule since: the
   /// next write changes nothing but the lease.
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -108,7 +108,7 @@
 }
 
 void EmulatedSystem::Perform(int node, const dispatch::CommitRows& commit) {
-  dispatch::TransactionAnswered lost;
+  dispatch::CommitCompleted lost;
   lost.ticket = commit.ticket;
   ++commits_;
   if (commit.lane == dispatch::StoreLane::kLeader) {
@@ -129,11 +129,10 @@
   }
   free_at = free_at + options_.transaction_time * faults_.store_slowness;
   const Duration queued = free_at - now_;
-  CallStore<dispatch::TransactionAnswered>(
+  CallStore<dispatch::CommitCompleted>(
       node, commit.timeout,
       [this, commit] {
-        dispatch::TransactionAnswered answer =
-            store_.Commit(commit.transaction);
+        dispatch::CommitCompleted answer = store_.Commit(commit.transaction);
         answer.ticket = commit.ticket;
         return answer;
       },
--- a/src/emulator/emulated_oracle.cc
+++ b/src/emulator/emulated_oracle.cc
@@ -82,7 +82,7 @@
 
 void EmulatedSystem::NoteConfirmed(Process* process,
                                    const dispatch::EventBody& body) {
-  const auto* answer = std::get_if<dispatch::TransactionAnswered>(&body);
+  const auto* answer = std::get_if<dispatch::CommitCompleted>(&body);
   if (answer == nullptr) return;
   const auto sent = process->own_writes.find(answer->ticket);
   if (sent == process->own_writes.end()) return;
--- a/src/emulator/emulated_store.cc
+++ b/src/emulator/emulated_store.cc
@@ -21,9 +21,9 @@
   return row;
 }
 
-dispatch::TransactionAnswered EmulatedStore::Commit(
+dispatch::CommitCompleted EmulatedStore::Commit(
     const dispatch::RowTransaction& transaction) {
-  dispatch::TransactionAnswered answer;
+  dispatch::CommitCompleted answer;
   answer.outcome = StoreOutcome::kDone;
   for (const dispatch::RowCondition& condition : transaction.conditions) {
     const Key key{condition.key.table, transaction.part, condition.key.key};
--- a/src/emulator/emulated_store.h
+++ b/src/emulator/emulated_store.h
@@ -23,8 +23,7 @@
 class EmulatedStore {
  public:
   /// Does all of it or nothing. The ticket of the answer is not set.
-  dispatch::TransactionAnswered Commit(
-      const dispatch::RowTransaction& transaction);
+  dispatch::CommitCompleted Commit(const dispatch::RowTransaction& transaction);
   /// Rows of a part of a table with keys from `from` to before `to` (empty: the
   /// last).
   dispatch::RowsAnswered Read(const std::string& table, const std::string& part,
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -49,7 +49,7 @@
 
   /// The commit under way gets no answer.
   void LoseCommit(bool store_answers) {
-    TransactionAnswered lost;
+    CommitCompleted lost;
     lost.ticket = Newest<CommitRows>()->ticket;
     now = now + Duration(300);
     Context ctx = NewContext();
--- a/test/leadership-test.cc
+++ b/test/leadership-test.cc
@@ -104,7 +104,7 @@
   LeaderRecord record = Held(250);
   record.holder = "e1/0";
   const CommitRows* claim = Read(record, 5);
-  TransactionAnswered done;
+  CommitCompleted done;
   done.ticket = claim->ticket;
   done.outcome = StoreOutcome::kDone;
   done.revision = Revision(6);
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -55,7 +55,7 @@
     empty.ticket = Only<ReadRows>(reads).front().ticket;
     empty.outcome = StoreOutcome::kDone;
     const Effects claim = Reduce(empty);
-    TransactionAnswered done;
+    CommitCompleted done;
     done.ticket = Only<CommitRows>(claim).front().ticket;
     done.outcome = StoreOutcome::kDone;
     done.revision = Revision(1);
@@ -116,7 +116,7 @@
       DecodeLeader(commits.front().transaction.puts.back().value);
   CHECK_TRUE(record.ok());
   CHECK_TRUE(record->released);
-  TransactionAnswered done;
+  CommitCompleted done;
   done.ticket = commits.front().ticket;
   done.outcome = StoreOutcome::kDone;
   done.revision = Revision(2);
@@ -131,7 +131,7 @@
 TEST(Node, StopDuringAnOutageOfTheStoreEndsWithinTheGrace) {
   Lead();
   const auto commits = Only<CommitRows>(Reduce(StopAsked()));
-  TransactionAnswered lost;
+  CommitCompleted lost;
   lost.ticket = commits.front().ticket;
   lost.outcome = StoreOutcome::kUnknown;
   Reduce(lost);
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -45,7 +45,7 @@
   /// The renewal that is due is done.
   void Renew() {
     Work(true);
-    TransactionAnswered renewed;
+    CommitCompleted renewed;
     renewed.ticket = std::get<CommitRows>(effects.front()).ticket;
     renewed.outcome = StoreOutcome::kDone;
     Context ctx = NewContext();
--- a/test/state-writer-test.cc
+++ b/test/state-writer-test.cc
@@ -44,7 +44,7 @@
 
   StateWriter::Verdict Answer(const CommitRows& call, StoreOutcome outcome,
                               std::vector<Row> rows = {}) {
-    TransactionAnswered answer;
+    CommitCompleted answer;
     answer.ticket = call.ticket;
     answer.outcome = outcome;
     answer.revision = Revision(41);
