--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -57,7 +57,7 @@
   /// its runner: jobs that can not be done fail at any time of their run,
   /// broken runners at once.
   Duration quick_failure{400};
-  int quick_failure_percent = 5;
+  int early_failure_percent = 5;
   /// Others are used first for so long after a run failed on a runner: longer
   /// than runners that fail all they start usually do so.
   Duration failure_penalty{8000};
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -24,7 +24,7 @@
   const Duration lasted = ctx.now() - run.started_at;
   const Duration quick =
       std::max(options_.quick_failure,
-               run.expected * options_.quick_failure_percent / kHundred);
+               run.expected * options_.early_failure_percent / kHundred);
   if (end.end == RunEnd::kDone) {
     JudgeDone(runner, run);
   } else if (end.end == RunEnd::kFailed) {
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -43,7 +43,7 @@
       {"late-headroom", &planner.late_headroom},
       {"urgent-victim-weight", &planner.urgent_victim_weight},
       {"suspicion", &scheduler.failure_penalty},
-      {"quick-failure-percent", &scheduler.quick_failure_percent},
+      {"quick-failure-percent", &scheduler.early_failure_percent},
       {"unwell-pause", &scheduler.unwell_pause},
       {"stall-patience", &scheduler.stall_patience},
       {"stall-percents", &scheduler.stall_percents},
