--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -311,7 +311,7 @@
   return due;
 }
 
-void Fleet::Look(Context& ctx, Epoch epoch, bool may_renew,
+void Fleet::Poll(Context& ctx, Epoch epoch, bool may_renew,
                  bool all_runs_known) {
   ScheduleTouched();
   for (Runner* runner : DueRunners(ctx.now())) {
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -109,7 +109,7 @@
     return runners_;
   }
   /// Null if that life is not the present one. What the caller changes about
-  /// the runner's looks is taken in by the next `Look`.
+  /// the runner's looks is taken in by the next `Poll`.
   Runner* Find(const IncarnationId& incarnation);
   /// The present life of a runner; null if there is none. The same holds.
   Runner* FindPresent(const RunnerId& id);
@@ -137,8 +137,8 @@
   /// Sends every look that is due. `may_renew`: this node's right to schedule
   /// is fresh enough to renew leases. `all_runs_known`: runners hold no other
   /// runs than those that are noted.
-  void Look(Context& ctx, Epoch epoch, bool may_renew, bool all_runs_known);
-  /// The next moment at which `List` or `Look` has something to do.
+  void Poll(Context& ctx, Epoch epoch, bool may_renew, bool all_runs_known);
+  /// The next moment at which `List` or `Poll` has something to do.
   TimePoint next_at() const;
 
   /// Where orders for the runner go.
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -76,7 +76,7 @@
   const auto at = runner_at_.find(poll.target.address);
   if (at == runner_at_.end() || !Hears(at->second)) return;
   EmulatedRunner* runner = FindRunner(at->second);
-  const dispatch::RunnerPolled answer = runner->Look(poll);
+  const dispatch::RunnerPolled answer = runner->Poll(poll);
   const std::vector<dispatch::ListedEnd> unread = runner->TakeUnreadEnds();
   // A call that comes to a later life than it was meant for can't be taken
   // back: what that life forgets by it breaks no promise.
@@ -126,7 +126,7 @@
     return;
   }
   // The lease is renewed when the look comes, not when it is answered.
-  answer = runner->Look(poll);
+  answer = runner->Poll(poll);
   oracle_.NoteUnread(runner->TakeUnreadEnds());
   const bool waits = answer.outcome == OrderOutcome::kDone && now_ < until &&
                      !runner->HasNewEnds(poll.acknowledged_end);
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -295,7 +295,7 @@
   return !ended_.empty() && ended_.back().number > acknowledged;
 }
 
-dispatch::RunnerPolled EmulatedRunner::Look(const dispatch::PollRunner& poll) {
+dispatch::RunnerPolled EmulatedRunner::Poll(const dispatch::PollRunner& poll) {
   dispatch::RunnerPolled answer;
   answer.asked = poll.target.incarnation;
   answer.number = poll.number;
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -85,7 +85,7 @@
 
   dispatch::StartAnswered Start(const dispatch::StartRun& order);
   dispatch::StopAnswered Stop(const dispatch::StopRun& order);
-  dispatch::RunnerPolled Look(const dispatch::PollRunner& poll);
+  dispatch::RunnerPolled Poll(const dispatch::PollRunner& poll);
   /// True if this life was first looked at longer ago than `time`.
   bool KnownFor(Duration time) const {
     return first_look_at_.has_value() && now_ - *first_look_at_ > time;
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -86,11 +86,11 @@
                        options.longest_retry_pause);
   }
 
-  std::optional<PollRunner> Look() {
+  std::optional<PollRunner> Poll() {
     // As the scheduler does for each runner that an event is about.
     for (auto& [id, runner] : fleet.runners()) fleet.FindPresent(id);
     Context ctx = NewContext();
-    fleet.Look(ctx, Epoch(1), true, true);
+    fleet.Poll(ctx, Epoch(1), true, true);
     for (const Effect& effect : effects) {
       if (const auto* poll = std::get_if<PollRunner>(&effect)) return *poll;
     }
@@ -136,7 +136,7 @@
   Runner* runner = AddRunner("i-1");
   AddRun(runner);
   runner->Heard(now, 500000);
-  const std::optional<PollRunner> poll = Look();
+  const std::optional<PollRunner> poll = Poll();
   CHECK_TRUE(poll.has_value());
   LONGS_EQUAL(500000 + FleetOptions().run_lease.ms(), poll->until_ms);
 }
@@ -147,12 +147,12 @@
   Runner* runner = AddRunner("i-1");
   AddRun(runner);
   runner->Heard(now, 500000);
-  CHECK_TRUE(Look().has_value());
+  CHECK_TRUE(Poll().has_value());
   const TimePoint over = runner->lease_over_at();
   runner->look_in_flight = false;
   runner->Missed(now);
   now = now + Duration(2000);
-  const std::optional<PollRunner> poll = Look();
+  const std::optional<PollRunner> poll = Poll();
   CHECK_TRUE(poll.has_value());
   LONGS_EQUAL(0, poll->until_ms);
   CHECK_TRUE(over == runner->lease_over_at());
@@ -171,7 +171,7 @@
   Context ctx = NewContext();
   fleet.Handle(ctx, listed);
   Context first = NewContext();
-  fleet.Look(first, Epoch(1), true, true);
+  fleet.Poll(first, Epoch(1), true, true);
   LONGS_EQUAL(FleetOptions().first_looks, effects.size());
   CHECK_TRUE(fleet.next_at() > now);
   const auto* poll = std::get_if<PollRunner>(&effects.front());
@@ -180,7 +180,7 @@
   answered->Heard(now, 1000);
   answered->next_look_at = now + Duration(500);
   Context second = NewContext();
-  fleet.Look(second, Epoch(1), true, true);
+  fleet.Poll(second, Epoch(1), true, true);
   LONGS_EQUAL(1, effects.size());
 }
 
@@ -286,7 +286,7 @@
   constexpr int kRounds = 30;
   for (int round = 0; round < kRounds; ++round) {
     Context looks = NewContext();
-    fleet.Look(looks, Epoch(1), true, true);
+    fleet.Poll(looks, Epoch(1), true, true);
     // So long takes a look without an answer.
     now = now + Duration(500);
     for (const Effect& effect : effects) {
@@ -322,27 +322,27 @@
   runner->Heard(now, 500000);
   Run& run = runner->runs().begin()->second;
   run.phase = RunPhase::kUnsure;
-  LONGS_EQUAL(0, Look()->wait.ms());
+  LONGS_EQUAL(0, Poll()->wait.ms());
   runner->look_in_flight = false;
   run.stop.Sent(now);
-  LONGS_EQUAL(FleetOptions().doubt_wait.ms(), Look()->wait.ms());
+  LONGS_EQUAL(FleetOptions().doubt_wait.ms(), Poll()->wait.ms());
   runner->look_in_flight = false;
   run.stop.Answered(true);
-  LONGS_EQUAL(0, Look()->wait.ms());
+  LONGS_EQUAL(0, Poll()->wait.ms());
 }
 
 TEST(Fleet, EntryOfAnotherLifeHasTheRunnerLookedAtOverALookThatWaits) {
   Runner* runner = AddRunner("i-1");
   runner->Heard(now, 500000);
-  CHECK_TRUE(Look().has_value());
-  CHECK_FALSE(Look().has_value());
+  CHECK_TRUE(Poll().has_value());
+  CHECK_FALSE(Poll().has_value());
   RunnersListed listed;
   listed.ok = true;
   listed.runners = {runner->info()};
   listed.runners.front().start_time = StartTime(1700);
   Context ctx = NewContext();
   fleet.Handle(ctx, listed);
-  const auto poll = Look();
+  const auto poll = Poll();
   CHECK_TRUE(poll.has_value());
   // The list alone ends no life.
   CHECK_TRUE(poll->target.incarnation ==
@@ -351,7 +351,7 @@
   // Once is enough: the entry may be old.
   Context again = NewContext();
   fleet.Handle(again, listed);
-  CHECK_FALSE(Look().has_value());
+  CHECK_FALSE(Poll().has_value());
 }
 
 TEST(Fleet, NextLifeKeepsNothingOfTheOneBeforeButItsPlace) {
@@ -394,14 +394,14 @@
   runner->Heard(now, 500000);
   runner->newest_end = 4;
   now = now + FleetOptions().tell_ends_within + Duration(1);
-  LONGS_EQUAL(0, Look()->acknowledged_end);
+  LONGS_EQUAL(0, Poll()->acknowledged_end);
   runner->look_in_flight = false;
   runner->Heard(now, 500101);
-  LONGS_EQUAL(4, Look()->acknowledged_end);
+  LONGS_EQUAL(4, Poll()->acknowledged_end);
   runner->look_in_flight = false;
   runner->told_end = 4;
   runner->Heard(now, 500101);
-  LONGS_EQUAL(0, Look()->acknowledged_end);
+  LONGS_EQUAL(0, Poll()->acknowledged_end);
 }
 
 TEST(Fleet, SilentRunnerIsToldNoEndAsKnown) {
@@ -410,7 +410,7 @@
   runner->newest_end = 4;
   LoseLook(runner);
   now = runner->next_look_at;
-  LONGS_EQUAL(0, Look()->acknowledged_end);
+  LONGS_EQUAL(0, Poll()->acknowledged_end);
 }
 
 TEST(Fleet, HeldEndIsToldAsKnownOnlyOnceTheLeaseRanOut) {
@@ -420,14 +420,14 @@
   const Duration lease = FleetOptions().run_lease;
   const TimePoint until = runner->HoldEnd(3, now, lease);
   CHECK_TRUE(until - now > lease);
-  const std::optional<PollRunner> held = Look();
+  const std::optional<PollRunner> held = Poll();
   LONGS_EQUAL(2, held->acknowledged_end);
   LONGS_EQUAL(0, held->until_ms);
   runner->look_in_flight = false;
   now = until;
   runner->Heard(now, until.ms());
   runner->ReleaseHeldEnds(now);
-  LONGS_EQUAL(4, Look()->acknowledged_end);
+  LONGS_EQUAL(4, Poll()->acknowledged_end);
 }
 
 TEST(Fleet, HeldEndWaitsForARenewalThatMayStillCome) {
--- a/test/promise-oracle-test.cc
+++ b/test/promise-oracle-test.cc
@@ -40,7 +40,7 @@
   }
 
   /// The runner lists an end, and is told that ends up to `known` are known.
-  void Look(std::int64_t known, const std::vector<ListedEnd>& ends,
+  void Poll(std::int64_t known, const std::vector<ListedEnd>& ends,
             bool stands = true) {
     dispatch::PollRunner poll;
     poll.target.incarnation.runner = runner;
@@ -74,46 +74,46 @@
 
 TEST(PromiseOracle, StartBeforeAnEndIsNotedIsAViolationOnceItIsNoted) {
   Start(first, 1);
-  Look(0, {EndOf(first, 1, RunEnd::kDone)});
+  Poll(0, {EndOf(first, 1, RunEnd::kDone)});
   Start(first, 2);
   CHECK(oracle.violations().empty());
-  Look(1, {});
+  Poll(1, {});
   CHECK_EQUAL(1, oracle.violations().size());
 }
 
 TEST(PromiseOracle, StartBeforeAnEndIsNotedIsAllowedWhereTheLeaseWasOver) {
   Start(first, 1);
-  Look(0, {EndOf(first, 1, RunEnd::kDone)});
+  Poll(0, {EndOf(first, 1, RunEnd::kDone)});
   Start(first, 2);
-  Look(1, {}, /*stands=*/false);
+  Poll(1, {}, /*stands=*/false);
   CHECK(oracle.violations().empty());
 }
 
 TEST(PromiseOracle, StartBeforeAllFailuresAreNotedIsAViolationOnceTheyAre) {
   Start(first, 1);
   Start(first, 2);
-  Look(0, {{1, first, 1, RunEnd::kFailed, ""},
+  Poll(0, {{1, first, 1, RunEnd::kFailed, ""},
            {2, first, 2, RunEnd::kFailed, ""}});
   Start(first, 3);
   CHECK(oracle.violations().empty());
-  Look(2, {});
+  Poll(2, {});
   CHECK_EQUAL(1, oracle.violations().size());
 }
 
 TEST(PromiseOracle, StartAfterANotedEndIsAViolation) {
   Start(first);
-  Look(0, {EndOf(first, 1, RunEnd::kDone)});
+  Poll(0, {EndOf(first, 1, RunEnd::kDone)});
   Start(first);
   CHECK(oracle.violations().empty());
-  Look(1, {});
+  Poll(1, {});
   Start(first);
   CHECK_EQUAL(1, oracle.violations().size());
 }
 
 TEST(PromiseOracle, EndThatLapsedBeforeItWasNotedAllowsAnotherStart) {
   Start(first);
-  Look(0, {EndOf(first, 1, RunEnd::kDone)});
-  Look(1, {}, false);
+  Poll(0, {EndOf(first, 1, RunEnd::kDone)});
+  Poll(1, {}, false);
   Start(first);
   CHECK(oracle.violations().empty());
 }
@@ -124,8 +124,8 @@
 }
 
 TEST(PromiseOracle, StartBeyondTheAttemptsIsAViolation) {
-  Look(0, {EndOf(first, 1, RunEnd::kFailed), EndOf(first, 2, RunEnd::kFailed)});
-  Look(2, {});
+  Poll(0, {EndOf(first, 1, RunEnd::kFailed), EndOf(first, 2, RunEnd::kFailed)});
+  Poll(2, {});
   CHECK_EQUAL(2, oracle.Find(job)->listed_failures);
   Start(first);
   CHECK_EQUAL(1, oracle.violations().size());
@@ -139,8 +139,8 @@
 }
 
 TEST(PromiseOracle, EndThatIsListedAgainCountsOnce) {
-  Look(0, {EndOf(first, 1, RunEnd::kFailed)});
-  Look(0, {EndOf(first, 1, RunEnd::kFailed)});
+  Poll(0, {EndOf(first, 1, RunEnd::kFailed)});
+  Poll(0, {EndOf(first, 1, RunEnd::kFailed)});
   CHECK_EQUAL(1, oracle.Find(job)->listed_failures);
 }
 
