--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -44,7 +44,7 @@
   /// Gangs wait this long before room is kept free for them.
   Duration gang_patience{300};
   /// Gangs that room is kept free for at once.
-  int kept_gangs = 4;
+  int max_reserved_gangs = 4;
   /// Other work displaces lower priorities, and uses more of the urgent racks,
   /// once it must start within this time to be done by its objective, or missed
   /// it: room for a stop, twice over.
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -292,7 +292,7 @@
     WakeAt(from);
     return false;
   }
-  const int most_kept = options_.policy->KeptGangs(options_.kept_gangs);
+  const int most_kept = options_.policy->KeptGangs(options_.max_reserved_gangs);
   const bool worthless = unit.rank.outlook == Outlook::kHopeless;
   if (worthless || kept_ >= most_kept) return false;
   const std::optional<ComingRoom> coming = SoonestDone(unit, request);
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -32,7 +32,7 @@
       {"patience", &planner.patience},
       {"last-attempt-patience", &planner.last_attempt_patience},
       {"gang-patience", &planner.gang_patience},
-      {"kept-gangs", &planner.kept_gangs},
+      {"kept-gangs", &planner.max_reserved_gangs},
       {"press-margin", &planner.press_margin},
       {"claim-time", &planner.reservation_time},
       {"worthless-after", &planner.worthless_after},
--- a/test/tuning-test.cc
+++ b/test/tuning-test.cc
@@ -22,7 +22,7 @@
   CHECK_TRUE(findings.empty());
   LONGS_EQUAL(900, options.scheduler.planner.patience.ms());
   DOUBLES_EQUAL(0.5, options.scheduler.planner.urgent_share, 1e-9);
-  LONGS_EQUAL(2, options.scheduler.planner.kept_gangs);
+  LONGS_EQUAL(2, options.scheduler.planner.max_reserved_gangs);
 }
 
 TEST(Tuning, WhatIsWrongIsFoundAndSetsNothing) {
