--- a/src/dispatch/catalog_follower.cc
+++ b/src/dispatch/catalog_follower.cc
@@ -4,11 +4,10 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#include "dispatch/catalog_follower.h"
-
 #include <string>
 
 #include "absl/strings/str_cat.h"
+#include "dispatch/catalog_watcher.h"
 
 namespace limeledge::dispatch {
 
--- a/src/dispatch/catalog_follower.h
+++ b/src/dispatch/catalog_watcher.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_DISPATCH_CATALOG_FOLLOWER_H_
-#define LIMELEDGE_SRC_DISPATCH_CATALOG_FOLLOWER_H_
+#ifndef LIMELEDGE_SRC_DISPATCH_CATALOG_WATCHER_H_
+#define LIMELEDGE_SRC_DISPATCH_CATALOG_WATCHER_H_
 
 #include <optional>
 #include <set>
@@ -69,4 +69,4 @@
 
 }  // namespace limeledge::dispatch
 
-#endif  // LIMELEDGE_SRC_DISPATCH_CATALOG_FOLLOWER_H_
+#endif  // LIMELEDGE_SRC_DISPATCH_CATALOG_WATCHER_H_
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -13,7 +13,7 @@
 #include <string>
 
 #include "dispatch/catalog.h"
-#include "dispatch/catalog_follower.h"
+#include "dispatch/catalog_watcher.h"
 #include "dispatch/desk.h"
 #include "dispatch/effect.h"
 #include "dispatch/event.h"
