--- a/src/dispatch/desk.cc
+++ b/src/dispatch/desk.cc
@@ -292,7 +292,7 @@
          "the job's row is unreadable");
 }
 
-void Desk::Handle(Context& ctx, const RowsAnswered& answer,
+void Desk::Handle(Context& ctx, const ReadCompleted& answer,
                   bool store_answers) {
   auto entry = calls_.extract(answer.ticket);
   Pending pending = std::move(entry.mapped());
@@ -321,7 +321,7 @@
 }
 
 void Desk::TakeProgress(Context& ctx, Pending pending,
-                        const RowsAnswered& answer) {
+                        const ReadCompleted& answer) {
   if (answer.rows.empty()) {
     Read(ctx, std::move(pending), Stage::kReadJob);
     return;
@@ -335,7 +335,7 @@
   Answer(ctx, pending.call, CallResult::kDone, "", ToString(*state));
 }
 
-void Desk::TakeJob(Context& ctx, Pending pending, const RowsAnswered& answer) {
+void Desk::TakeJob(Context& ctx, Pending pending, const ReadCompleted& answer) {
   if (answer.rows.empty()) {
     Answer(ctx, pending.call, CallResult::kGone);
     return;
@@ -361,7 +361,7 @@
 }
 
 void Desk::TakeCount(Context& ctx, const Pending& pending,
-                     const RowsAnswered& answer) {
+                     const ReadCompleted& answer) {
   std::int64_t waiting = 0;
   if (!answer.rows.empty()) {
     const absl::StatusOr<WaitingCounts> counts =
--- a/src/dispatch/desk.h
+++ b/src/dispatch/desk.h
@@ -52,7 +52,7 @@
   /// goes on only while others are answered. Callers that were held to the end
   /// of their time by a store that is away could not come back any more.
   void Handle(Context& ctx, const CommitCompleted& answer, bool store_answers);
-  void Handle(Context& ctx, const RowsAnswered& answer, bool store_answers);
+  void Handle(Context& ctx, const ReadCompleted& answer, bool store_answers);
 
   /// Takes in why the store does not answer, as far as that is known.
   void NoteStoreLoss(StoreLoss loss) { loss_ = loss; }
@@ -109,10 +109,10 @@
                   const CommitCompleted& answer);
   /// Notes whose a stored job is, and answers its submit.
   void Accept(Context& ctx, const Pending& pending, const std::string& message);
-  void TakeProgress(Context& ctx, Pending pending, const RowsAnswered& answer);
-  void TakeJob(Context& ctx, Pending pending, const RowsAnswered& answer);
+  void TakeProgress(Context& ctx, Pending pending, const ReadCompleted& answer);
+  void TakeJob(Context& ctx, Pending pending, const ReadCompleted& answer);
   void TakeCount(Context& ctx, const Pending& pending,
-                 const RowsAnswered& answer);
+                 const ReadCompleted& answer);
   void Answer(Context& ctx, const CallArrived& call, CallResult result,
               const std::string& message = "", const std::string& state = "",
               std::int64_t waiting = -1);
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -38,7 +38,7 @@
   std::vector<Row> rows;
 };
 
-struct RowsAnswered {
+struct ReadCompleted {
   Ticket ticket;
   StoreOutcome outcome = StoreOutcome::kUnknown;
   std::vector<Row> rows;
@@ -215,7 +215,7 @@
 struct SettingsReloaded {};
 
 using EventBody =
-    std::variant<TimerFired, CommitCompleted, RowsAnswered, ChangesAnswered,
+    std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesAnswered,
                  CatalogAnswered, RunnersListed, RunnerPolled, StartAnswered,
                  StopAnswered, AdviceAnswered, PeerAnswered, CallArrived,
                  StopAsked, SettingsReloaded, StateAsked>;
--- a/src/dispatch/job_book.cc
+++ b/src/dispatch/job_book.cc
@@ -83,7 +83,7 @@
   if (follows) Follow(ctx);
 }
 
-std::vector<JobId> JobBook::Handle(Context& ctx, const RowsAnswered& answer) {
+std::vector<JobId> JobBook::Handle(Context& ctx, const ReadCompleted& answer) {
   std::vector<JobId> changed;
   const auto reading = std::find_if(
       readings_.begin(), readings_.end(),
--- a/src/dispatch/job_book.h
+++ b/src/dispatch/job_book.h
@@ -64,7 +64,7 @@
   bool Owns(Ticket ticket) const;
   /// Takes in an answer to a call of this book (`Owns`); returns the jobs that
   /// are new or to be cancelled.
-  std::vector<JobId> Handle(Context& ctx, const RowsAnswered& answer);
+  std::vector<JobId> Handle(Context& ctx, const ReadCompleted& answer);
   std::vector<JobId> Handle(Context& ctx, const ChangesAnswered& answer);
 
   /// Null when the job is not known, or was final long ago.
--- a/src/dispatch/leadership.cc
+++ b/src/dispatch/leadership.cc
@@ -52,7 +52,7 @@
                     after_key, 1, patience_->For(misses_)});
 }
 
-void Leadership::Handle(Context& ctx, const RowsAnswered& answer) {
+void Leadership::Handle(Context& ctx, const ReadCompleted& answer) {
   Wait(ctx.now(), options_.poll_interval);
   const bool answered = answer.outcome == StoreOutcome::kDone;
   misses_ = answered ? 0 : misses_ + 1;
--- a/src/dispatch/leadership.h
+++ b/src/dispatch/leadership.h
@@ -61,7 +61,7 @@
     /// When the claim was sent: the lease counts from then.
     TimePoint sent_at;
   };
-  void Handle(Context& ctx, const RowsAnswered& answer);
+  void Handle(Context& ctx, const ReadCompleted& answer);
   /// Takes in the answer to a claim; returns the lease if it is now this
   /// node's.
   std::optional<Claimed> Handle(Context& ctx, const CommitCompleted& answer);
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -135,7 +135,7 @@
   }
 }
 
-void Node::Handle(Context& ctx, const RowsAnswered& event) {
+void Node::Handle(Context& ctx, const ReadCompleted& event) {
   NoteStoreAnswer(event.ticket, event.outcome);
   if (desk_.Owns(event.ticket)) {
     desk_.Handle(ctx, event, StoreAnswers());
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -80,7 +80,7 @@
  private:
   void Handle(Context& ctx, const TimerFired& event);
   void Handle(Context& ctx, const CommitCompleted& event);
-  void Handle(Context& ctx, const RowsAnswered& event);
+  void Handle(Context& ctx, const ReadCompleted& event);
   void Handle(Context& ctx, const ChangesAnswered& event);
   void Handle(Context& ctx, const CatalogAnswered& event);
   void Handle(Context& ctx, const RunnersListed& event);
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -106,7 +106,7 @@
       ctx.now() + (done ? options_.renew_interval : options_.retry_pause);
 }
 
-void PeerCheck::Handle(Context& ctx, const RowsAnswered& answer) {
+void PeerCheck::Handle(Context& ctx, const ReadCompleted& answer) {
   call_under_way_ = false;
   const bool done = answer.outcome == StoreOutcome::kDone;
   read_at_ = ctx.now() + (done ? options_.list_interval : options_.retry_pause);
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -69,7 +69,7 @@
 
   bool Owns(Ticket ticket) const { return call_under_way_ && call_ == ticket; }
   /// Takes in the peers that were read.
-  void Handle(Context& ctx, const RowsAnswered& answer);
+  void Handle(Context& ctx, const ReadCompleted& answer);
   /// Takes in the end of a renewal.
   void Handle(Context& ctx, const CommitCompleted& answer);
   /// Takes in what a peer tells of the store.
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -65,7 +65,7 @@
   return LeaseStatus::kHeld;
 }
 
-void Scheduler::Handle(Context& ctx, const RowsAnswered& answer) {
+void Scheduler::Handle(Context& ctx, const ReadCompleted& answer) {
   TakeChanges(ctx, book_.Handle(ctx, answer));
 }
 
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -147,7 +147,7 @@
   /// True if the answer belongs to a call of this scheduler.
   bool Owns(Ticket ticket) const;
   LeaseStatus Handle(Context& ctx, const CommitCompleted& answer);
-  void Handle(Context& ctx, const RowsAnswered& answer);
+  void Handle(Context& ctx, const ReadCompleted& answer);
   void Handle(Context& ctx, const ChangesAnswered& answer);
   void Handle(Context& ctx, const RunnersListed& answer);
   LeaseStatus Handle(Context& ctx, const RunnerPolled& answer);
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -140,13 +140,13 @@
 }
 
 void EmulatedSystem::Perform(int node, const dispatch::ReadRows& read) {
-  dispatch::RowsAnswered lost;
+  dispatch::ReadCompleted lost;
   lost.ticket = read.ticket;
   lost.outcome = StoreOutcome::kUnknown;
-  CallStore<dispatch::RowsAnswered>(
+  CallStore<dispatch::ReadCompleted>(
       node, read.timeout,
       [this, read] {
-        dispatch::RowsAnswered answer;
+        dispatch::ReadCompleted answer;
         answer.outcome = StoreOutcome::kNotDone;
         if (!IsAway(read.part)) {
           answer = store_.Read(read.table, read.part, read.from, read.to,
--- a/src/emulator/emulated_store.cc
+++ b/src/emulator/emulated_store.cc
@@ -50,12 +50,12 @@
   return answer;
 }
 
-dispatch::RowsAnswered EmulatedStore::Read(const std::string& table,
-                                           const std::string& part,
-                                           const std::string& from,
-                                           const std::string& to,
-                                           int limit) const {
-  dispatch::RowsAnswered answer;
+dispatch::ReadCompleted EmulatedStore::Read(const std::string& table,
+                                            const std::string& part,
+                                            const std::string& from,
+                                            const std::string& to,
+                                            int limit) const {
+  dispatch::ReadCompleted answer;
   answer.outcome = StoreOutcome::kDone;
   answer.newest = revision_;
   for (auto it = cells_.lower_bound({table, part, from});
--- a/src/emulator/emulated_store.h
+++ b/src/emulator/emulated_store.h
@@ -26,9 +26,9 @@
   dispatch::CommitCompleted Commit(const dispatch::RowTransaction& transaction);
   /// Rows of a part of a table with keys from `from` to before `to` (empty: the
   /// last).
-  dispatch::RowsAnswered Read(const std::string& table, const std::string& part,
-                              const std::string& from, const std::string& to,
-                              int limit) const;
+  dispatch::ReadCompleted Read(const std::string& table,
+                               const std::string& part, const std::string& from,
+                               const std::string& to, int limit) const;
   /// Changes of all parts of a table after a revision, each row once, in order.
   dispatch::ChangesAnswered Changes(const std::string& table,
                                     Revision after) const;
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -58,7 +58,7 @@
 
   /// The same for a reading.
   void LoseRead(bool store_answers) {
-    RowsAnswered lost;
+    ReadCompleted lost;
     lost.ticket = Newest<ReadRows>()->ticket;
     now = now + Duration(300);
     Context ctx = NewContext();
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -34,7 +34,7 @@
 
   void Answer(const Effect& read, const std::vector<Row>& rows = {},
               int newest = 10, bool more = false) {
-    RowsAnswered answer;
+    ReadCompleted answer;
     answer.more = more;
     answer.outcome = StoreOutcome::kDone;
     answer.ticket = std::get<ReadRows>(read).ticket;
@@ -57,7 +57,7 @@
   }
 
   void Refuse(const Effect& read) {
-    RowsAnswered answer;
+    ReadCompleted answer;
     answer.outcome = StoreOutcome::kNotDone;
     answer.ticket = std::get<ReadRows>(read).ticket;
     Context ctx(now, 0, &tickets, &effects);
--- a/test/leadership-test.cc
+++ b/test/leadership-test.cc
@@ -43,7 +43,7 @@
     Context ctx(now, 0, &tickets, &effects);
     follower.Follow(ctx);
     const ReadRows read = std::get<ReadRows>(effects.front());
-    RowsAnswered answer;
+    ReadCompleted answer;
     answer.ticket = read.ticket;
     answer.outcome = outcome;
     Row row;
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -51,7 +51,7 @@
   /// returns the effects.
   Effects Lead(Duration late = Duration(0)) {
     const Effects reads = ReadCatalog();
-    RowsAnswered empty;
+    ReadCompleted empty;
     empty.ticket = Only<ReadRows>(reads).front().ticket;
     empty.outcome = StoreOutcome::kDone;
     const Effects claim = Reduce(empty);
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -50,7 +50,7 @@
     book.Work(ctx);
     const dispatch::Effects asked = effects;
     for (const dispatch::Effect& effect : asked) {
-      dispatch::RowsAnswered empty;
+      dispatch::ReadCompleted empty;
       empty.outcome = dispatch::StoreOutcome::kDone;
       empty.ticket = std::get<dispatch::ReadRows>(effect).ticket;
       CHECK_TRUE(book.Owns(empty.ticket));
@@ -171,7 +171,7 @@
     return effects;
   };
   const auto answer = [&](const dispatch::Effect& read, int newest) {
-    dispatch::RowsAnswered rows;
+    dispatch::ReadCompleted rows;
     rows.outcome = dispatch::StoreOutcome::kDone;
     rows.ticket = std::get<dispatch::ReadRows>(read).ticket;
     rows.newest = Revision(newest);
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -63,7 +63,7 @@
 
   /// Rows by name, with the time of their renewal.
   void TellRows(const std::map<std::string, std::int64_t>& renewed) {
-    RowsAnswered rows;
+    ReadCompleted rows;
     rows.outcome = StoreOutcome::kDone;
     for (const auto& [name, wall_ms] : renewed) {
       Row row;
