--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -45,7 +45,7 @@
   Duration no_room_pause{400};
   /// Rest of a runner that is not well, or failed runs of two jobs in a row;
   /// doubles with each further failure up to the second.
-  Duration unwell_pause{2000};
+  Duration unhealthy_backoff{2000};
   Duration longest_unwell_pause{16000};
   /// A stop that showed no effect is sent again after this; longer than a
   /// runner takes to stop.
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -65,7 +65,7 @@
 void Scheduler::Rest(Context& ctx, Runner* runner, const char* reason) {
   const int doublings = std::clamp(
       runner->failures_in_a_row - kFailuresBeforeRest, 0, kMostDoublings);
-  const Duration pause = std::min(options_.unwell_pause * (1 << doublings),
+  const Duration pause = std::min(options_.unhealthy_backoff * (1 << doublings),
                                   options_.longest_unwell_pause);
   Avoid(ctx, runner, pause, reason);
 }
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -105,7 +105,7 @@
   }
   if (answer.outcome == OrderOutcome::kNotSent) MissAnswer(ctx, runner);
   if (answer.outcome == OrderOutcome::kUnhealthy) {
-    Avoid(ctx, runner, options_.unwell_pause, "not well");
+    Avoid(ctx, runner, options_.unhealthy_backoff, "not well");
   }
   if (answer.outcome == OrderOutcome::kNoRoom) {
     Avoid(ctx, runner, options_.no_room_pause, "no room");
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -44,7 +44,7 @@
       {"urgent-victim-weight", &planner.urgent_victim_weight},
       {"suspicion", &scheduler.failure_penalty},
       {"quick-failure-percent", &scheduler.early_failure_percent},
-      {"unwell-pause", &scheduler.unwell_pause},
+      {"unwell-pause", &scheduler.unhealthy_backoff},
       {"stall-patience", &scheduler.stall_patience},
       {"stall-percents", &scheduler.stall_percents},
       {"stall-pause", &scheduler.stall_pause},
