--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -143,7 +143,7 @@
   /// Transactions that nodes sent, refused ones included.
   int commits() const { return commits_; }
   /// Looks that nodes sent at runners, lost ones included.
-  int looks() const { return looks_; }
+  int polls() const { return looks_; }
   const ReducerUse& reducer_use() const { return reducer_use_; }
   const CrashCount& crashes() const { return crashes_; }
   /// The room of each runner as it begins.
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -285,8 +285,8 @@
   bool looked_at_last = false;
   constexpr int kRounds = 30;
   for (int round = 0; round < kRounds; ++round) {
-    Context looks = NewContext();
-    fleet.Poll(looks, Epoch(1), true, true);
+    Context polls = NewContext();
+    fleet.Poll(polls, Epoch(1), true, true);
     // So long takes a look without an answer.
     now = now + Duration(500);
     for (const Effect& effect : effects) {
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -236,10 +236,10 @@
   one.faults().orders_lost = 1;
   one.faults().late_order = Duration(60000);
   SubmitTo(&one, Step(1, 0, Duration(60000)));
-  const int before = one.looks();
+  const int before = one.polls();
   one.Run(Duration(5000));
   constexpr int kMostLooks = 100;
-  CHECK_TRUE(one.looks() - before <= kMostLooks);
+  CHECK_TRUE(one.polls() - before <= kMostLooks);
 }
 
 }  // namespace limeledge::emulator
