--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -100,7 +100,7 @@
 };
 
 /// A run that makes way for urgent work.
-struct Displacement {
+struct Preemption {
   TaskName task;
   IncarnationId incarnation;
   /// The job that needs the room.
@@ -152,7 +152,7 @@
 
 struct Plan {
   std::vector<Assignment> assignments;
-  std::vector<Displacement> displacements;
+  std::vector<Preemption> displacements;
   std::vector<StepWait> waits;
   std::vector<AdviceWish> advice_wishes;
   IdleRoom idle_room;
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -193,7 +193,7 @@
   for (const AdviceWish& wish : plan.advice_wishes) {
     advice_.Ask(ctx, wish.step, wish.runners);
   }
-  for (const Displacement& displaced : plan.displacements) {
+  for (const Preemption& displaced : plan.displacements) {
     Displace(ctx, displaced);
   }
   for (const Assignment& assignment : plan.assignments) {
@@ -201,7 +201,7 @@
   }
 }
 
-void Scheduler::Displace(Context& ctx, const Displacement& displaced) {
+void Scheduler::Displace(Context& ctx, const Preemption& displaced) {
   Runner* runner = fleet_.Find(displaced.incarnation);
   if (runner == nullptr) return;
   ctx.Log(LogId::kRunDisplaced,
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -190,7 +190,7 @@
   /// Logs what is idle while steps wait, and for whom.
   void TellIdleRoom(Context& ctx, const Plan& plan);
   /// Stops a run, with its gang, in favour of an urgent job.
-  void Displace(Context& ctx, const Displacement& displaced);
+  void Displace(Context& ctx, const Preemption& displaced);
   /// Takes an assignment in; the start is sent once it is stored.
   void Assign(Context& ctx, const Assignment& assignment);
   /// Lets a stored run's start wait for its turn.
