--- a/src/dispatch/catalog_follower.cc
+++ b/src/dispatch/catalog_watcher.cc
@@ -4,10 +4,11 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
+#include "dispatch/catalog_watcher.h"
+
 #include <string>
 
 #include "absl/strings/str_cat.h"
-#include "dispatch/catalog_watcher.h"
 
 namespace limeledge::dispatch {
 
