--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -49,7 +49,7 @@
 };
 
 /// Changes of a table, or nothing new within the wait.
-struct ChangesAnswered {
+struct ChangesReceived {
   Ticket ticket;
   StoreOutcome outcome = StoreOutcome::kUnknown;
   std::vector<Row> rows;
@@ -215,7 +215,7 @@
 struct SettingsReloaded {};
 
 using EventBody =
-    std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesAnswered,
+    std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesReceived,
                  CatalogAnswered, RunnersListed, RunnerPolled, StartAnswered,
                  StopAnswered, AdviceAnswered, PeerAnswered, CallArrived,
                  StopAsked, SettingsReloaded, StateAsked>;
--- a/src/dispatch/job_book.cc
+++ b/src/dispatch/job_book.cc
@@ -138,7 +138,7 @@
 }
 
 std::vector<JobId> JobBook::Handle(Context& ctx,
-                                   const ChangesAnswered& answer) {
+                                   const ChangesReceived& answer) {
   follow_under_way_ = false;
   std::vector<JobId> changed;
   if (answer.outcome == StoreOutcome::kHistoryGone) {
--- a/src/dispatch/job_book.h
+++ b/src/dispatch/job_book.h
@@ -65,7 +65,7 @@
   /// Takes in an answer to a call of this book (`Owns`); returns the jobs that
   /// are new or to be cancelled.
   std::vector<JobId> Handle(Context& ctx, const ReadCompleted& answer);
-  std::vector<JobId> Handle(Context& ctx, const ChangesAnswered& answer);
+  std::vector<JobId> Handle(Context& ctx, const ChangesReceived& answer);
 
   /// Null when the job is not known, or was final long ago.
   Job* Find(const JobId& id);
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -152,7 +152,7 @@
   }
 }
 
-void Node::Handle(Context& ctx, const ChangesAnswered& event) {
+void Node::Handle(Context& ctx, const ChangesReceived& event) {
   if (scheduler_ != nullptr && scheduler_->Owns(event.ticket)) {
     scheduler_->Handle(ctx, event);
   }
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -81,7 +81,7 @@
   void Handle(Context& ctx, const TimerFired& event);
   void Handle(Context& ctx, const CommitCompleted& event);
   void Handle(Context& ctx, const ReadCompleted& event);
-  void Handle(Context& ctx, const ChangesAnswered& event);
+  void Handle(Context& ctx, const ChangesReceived& event);
   void Handle(Context& ctx, const CatalogAnswered& event);
   void Handle(Context& ctx, const RunnersListed& event);
   void Handle(Context& ctx, const RunnerPolled& event);
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -69,7 +69,7 @@
   TakeChanges(ctx, book_.Handle(ctx, answer));
 }
 
-void Scheduler::Handle(Context& ctx, const ChangesAnswered& answer) {
+void Scheduler::Handle(Context& ctx, const ChangesReceived& answer) {
   TakeChanges(ctx, book_.Handle(ctx, answer));
 }
 
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -148,7 +148,7 @@
   bool Owns(Ticket ticket) const;
   LeaseStatus Handle(Context& ctx, const CommitCompleted& answer);
   void Handle(Context& ctx, const ReadCompleted& answer);
-  void Handle(Context& ctx, const ChangesAnswered& answer);
+  void Handle(Context& ctx, const ChangesReceived& answer);
   void Handle(Context& ctx, const RunnersListed& answer);
   LeaseStatus Handle(Context& ctx, const RunnerPolled& answer);
   LeaseStatus Handle(Context& ctx, const StartAnswered& answer);
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -166,7 +166,7 @@
                             const dispatch::AwaitChanges& effect,
                             TimePoint until) {
   const bool away = IsCutOffFromStore(node);
-  dispatch::ChangesAnswered answer;
+  dispatch::ChangesReceived answer;
   answer.outcome = StoreOutcome::kNotDone;
   if (!away) answer = store_.Changes(effect.table, effect.after);
   answer.ticket = effect.ticket;
--- a/src/emulator/emulated_store.cc
+++ b/src/emulator/emulated_store.cc
@@ -73,9 +73,9 @@
   return answer;
 }
 
-dispatch::ChangesAnswered EmulatedStore::Changes(const std::string& table,
+dispatch::ChangesReceived EmulatedStore::Changes(const std::string& table,
                                                  Revision after) const {
-  dispatch::ChangesAnswered answer;
+  dispatch::ChangesReceived answer;
   if (after < history_from_) {
     answer.outcome = StoreOutcome::kHistoryGone;
     return answer;
--- a/src/emulator/emulated_store.h
+++ b/src/emulator/emulated_store.h
@@ -30,7 +30,7 @@
                                const std::string& part, const std::string& from,
                                const std::string& to, int limit) const;
   /// Changes of all parts of a table after a revision, each row once, in order.
-  dispatch::ChangesAnswered Changes(const std::string& table,
+  dispatch::ChangesReceived Changes(const std::string& table,
                                     Revision after) const;
   /// Changes up to now can not be asked for any more.
   void ForgetHistory() { history_from_ = revision_; }
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -47,7 +47,7 @@
   /// The following call tells of changes.
   void Tell(const AwaitChanges& follow, const std::vector<Row>& rows,
             int newest) {
-    ChangesAnswered answer;
+    ChangesReceived answer;
     answer.outcome = StoreOutcome::kDone;
     answer.ticket = follow.ticket;
     answer.rows = rows;
@@ -66,7 +66,7 @@
 
   /// The following call's connection fell silent.
   void Lose(const AwaitChanges& follow) {
-    ChangesAnswered answer;
+    ChangesReceived answer;
     answer.outcome = StoreOutcome::kUnknown;
     answer.ticket = follow.ticket;
     Context ctx(now, 0, &tickets, &effects);
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -65,7 +65,7 @@
   LONGS_EQUAL(dispatch::kJobParts, read_nothing());
   CHECK_TRUE(book.loaded());
   book.Work(ctx);
-  dispatch::ChangesAnswered gone;
+  dispatch::ChangesReceived gone;
   gone.outcome = dispatch::StoreOutcome::kHistoryGone;
   book.Handle(ctx, gone);
   CHECK_TRUE(book.loaded());
@@ -185,7 +185,7 @@
   const auto first = std::get<dispatch::AwaitChanges>(work().front());
   LONGS_EQUAL(100, first.after.value());
   answer(reads[0], 50);
-  dispatch::ChangesAnswered changes;
+  dispatch::ChangesReceived changes;
   changes.outcome = dispatch::StoreOutcome::kDone;
   changes.ticket = first.ticket;
   changes.newest = Revision(120);
