--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -62,7 +62,7 @@
   /// than runners that fail all they start usually do so.
   Duration failure_penalty{8000};
   /// A run whose progress stands still for this long is moved elsewhere.
-  Duration stall_patience{3000};
+  Duration stall_timeout{3000};
   /// More patience for long runs: the expected time of so many percent, since
   /// a slow runner takes six times as long for each.
   int stall_percents = 8;
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -45,7 +45,7 @@
       {"suspicion", &scheduler.failure_penalty},
       {"quick-failure-percent", &scheduler.early_failure_percent},
       {"unwell-pause", &scheduler.unhealthy_backoff},
-      {"stall-patience", &scheduler.stall_patience},
+      {"stall-patience", &scheduler.stall_timeout},
       {"stall-percents", &scheduler.stall_percents},
       {"stall-pause", &scheduler.stall_pause},
       {"slow-run", &scheduler.slow_run},
