--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -89,7 +89,7 @@
 /// Asks what runs and what ended; grants a lease on everything that runs.
 struct PollRunner {
   OrderTarget target;
-  LookNumber number;
+  PollNumber number;
   std::int64_t acknowledged_end = 0;
   /// End of the lease on the runner's clock; 0 grants none.
   std::int64_t until_ms = 0;
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -129,7 +129,7 @@
 struct RunnerPolled {
   /// The life that was to be looked at.
   IncarnationId asked;
-  LookNumber number;
+  PollNumber number;
   /// Tells which life of the runner answered.
   StartTime start_time;
   Epoch epoch;
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -232,7 +232,7 @@
   std::vector<Runner*> touched_;
   /// First looks that are under way.
   int first_looks_ = 0;
-  LookNumber newest_look_;
+  PollNumber newest_look_;
   TimePoint next_list_at_;
   bool list_under_way_ = false;
   /// Readings in a row that came to nothing.
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -65,7 +65,7 @@
 };
 
 /// Matches the answer to a look with the look.
-using LookNumber = Number<struct LookNumberTag>;
+using PollNumber = Number<struct LookNumberTag>;
 
 /// True if no start of a run in that phase was ever sent.
 inline bool WasNeverSent(RunPhase phase) {
@@ -281,7 +281,7 @@
   // The exchange of what runs there.
   bool look_in_flight = false;
   /// The newest look; answers to others are dropped.
-  LookNumber look_number;
+  PollNumber look_number;
   /// It grants a lease.
   bool look_grants = false;
   /// A birth that the entry told, for which the runner was looked at.
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -128,7 +128,7 @@
   }
   const bool granted_now = before->look_grants;
   const TimePoint look_sent_at = before->look_sent_at;
-  const LookNumber look_number = before->look_number;
+  const PollNumber look_number = before->look_number;
   Runner* next = fleet_.BeginLife(before, start_time, now);
   // The look that told of it is its first one.
   next->look_sent_at = look_sent_at;
