--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -152,7 +152,7 @@
 
 struct Plan {
   std::vector<Assignment> assignments;
-  std::vector<Preemption> displacements;
+  std::vector<Preemption> preemptions;
   std::vector<StepWait> waits;
   std::vector<AdviceWish> advice_wishes;
   IdleRoom idle_room;
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -276,8 +276,7 @@
     claim.runners.push_back(runner.id());
     for (const TaskName& victim : opening.victims) {
       displaced_.insert(victim);
-      plan_.displacements.push_back(
-          {victim, runner.incarnation(), unit.key.job});
+      plan_.preemptions.push_back({victim, runner.incarnation(), unit.key.job});
     }
   }
   WakeAt(now_ + options_.reservation_time);
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -193,7 +193,7 @@
   for (const AdviceWish& wish : plan.advice_wishes) {
     advice_.Ask(ctx, wish.step, wish.runners);
   }
-  for (const Preemption& displaced : plan.displacements) {
+  for (const Preemption& displaced : plan.preemptions) {
     Displace(ctx, displaced);
   }
   for (const Assignment& assignment : plan.assignments) {
