--- a/src/dispatch/catalog_watcher.cc
+++ b/src/dispatch/catalog_watcher.cc
@@ -12,7 +12,7 @@
 
 namespace limeledge::dispatch {
 
-void CatalogFollower::Work(Context& ctx) {
+void CatalogWatcher::Work(Context& ctx) {
   if (under_way_ || ctx.now() < next_at_) return;
   under_way_ = true;
   const bool reread = ctx.now() - read_at_ >= options_.reread_interval;
@@ -25,7 +25,7 @@
   }
 }
 
-void CatalogFollower::Handle(Context& ctx, const CatalogAnswered& answer) {
+void CatalogWatcher::Handle(Context& ctx, const CatalogAnswered& answer) {
   under_way_ = false;
   next_at_ = ctx.now();
   const bool answered = answer.outcome == StoreOutcome::kDone;
@@ -60,7 +60,7 @@
            {"queues", std::to_string(catalog_->queues.size())}});
 }
 
-void CatalogFollower::TakeHalls(Context& ctx, const CatalogAnswered& answer) {
+void CatalogWatcher::TakeHalls(Context& ctx, const CatalogAnswered& answer) {
   const std::set<HallId> before = emptied_halls_;
   if (answer.names_all_halls) emptied_halls_.clear();
   for (const auto& [hall, emptied] : answer.halls) {
--- a/src/dispatch/catalog_watcher.h
+++ b/src/dispatch/catalog_watcher.h
@@ -32,9 +32,9 @@
 /// replaces a newer one.
 ///
 /// Thread safety: none; use it from one thread.
-class CatalogFollower {
+class CatalogWatcher {
  public:
-  explicit CatalogFollower(CatalogFollowerOptions options = {})
+  explicit CatalogWatcher(CatalogFollowerOptions options = {})
       : options_(options) {}
 
   /// Sends the next call when it is due.
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -112,7 +112,7 @@
   Desk desk_;
   PeerCheck peers_;
   std::unique_ptr<Scheduler> scheduler_;
-  CatalogFollower catalog_;
+  CatalogWatcher catalog_;
   bool ready_ = false;
   bool stopping_ = false;
   TimePoint stop_asked_at_;
