--- a/src/dispatch/catalog_watcher.cc
+++ b/src/dispatch/catalog_watcher.cc
@@ -25,7 +25,7 @@
   }
 }
 
-void CatalogWatcher::Handle(Context& ctx, const CatalogAnswered& answer) {
+void CatalogWatcher::Handle(Context& ctx, const CatalogReceived& answer) {
   under_way_ = false;
   next_at_ = ctx.now();
   const bool answered = answer.outcome == StoreOutcome::kDone;
@@ -60,7 +60,7 @@
            {"queues", std::to_string(catalog_->queues.size())}});
 }
 
-void CatalogWatcher::TakeHalls(Context& ctx, const CatalogAnswered& answer) {
+void CatalogWatcher::TakeHalls(Context& ctx, const CatalogReceived& answer) {
   const std::set<HallId> before = emptied_halls_;
   if (answer.names_all_halls) emptied_halls_.clear();
   for (const auto& [hall, emptied] : answer.halls) {
--- a/src/dispatch/catalog_watcher.h
+++ b/src/dispatch/catalog_watcher.h
@@ -40,7 +40,7 @@
   /// Sends the next call when it is due.
   void Work(Context& ctx);
   TimePoint next_at() const { return under_way_ ? kNever : next_at_; }
-  void Handle(Context& ctx, const CatalogAnswered& answer);
+  void Handle(Context& ctx, const CatalogReceived& answer);
 
   /// Null before the first version.
   const Catalog* catalog() const {
@@ -53,7 +53,7 @@
 
  private:
   /// Takes in which halls are to be emptied.
-  void TakeHalls(Context& ctx, const CatalogAnswered& answer);
+  void TakeHalls(Context& ctx, const CatalogReceived& answer);
 
   CatalogFollowerOptions options_;
   std::optional<Catalog> catalog_;
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -57,7 +57,7 @@
 };
 
 /// The configuration was read, or found unchanged within a wait.
-struct CatalogAnswered {
+struct CatalogReceived {
   StoreOutcome outcome = StoreOutcome::kUnknown;
   /// The configuration, if the answer holds one.
   std::optional<Catalog> catalog;
@@ -216,7 +216,7 @@
 
 using EventBody =
     std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesReceived,
-                 CatalogAnswered, RunnersListed, RunnerPolled, StartAnswered,
+                 CatalogReceived, RunnersListed, RunnerPolled, StartAnswered,
                  StopAnswered, AdviceAnswered, PeerAnswered, CallArrived,
                  StopAsked, SettingsReloaded, StateAsked>;
 
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -158,7 +158,7 @@
   }
 }
 
-void Node::Handle(Context& ctx, const CatalogAnswered& event) {
+void Node::Handle(Context& ctx, const CatalogReceived& event) {
   catalog_.Handle(ctx, event);
 }
 
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -82,7 +82,7 @@
   void Handle(Context& ctx, const CommitCompleted& event);
   void Handle(Context& ctx, const ReadCompleted& event);
   void Handle(Context& ctx, const ChangesReceived& event);
-  void Handle(Context& ctx, const CatalogAnswered& event);
+  void Handle(Context& ctx, const CatalogReceived& event);
   void Handle(Context& ctx, const RunnersListed& event);
   void Handle(Context& ctx, const RunnerPolled& event);
   void Handle(Context& ctx, const StartAnswered& event);
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -195,7 +195,7 @@
   const int incarnation = processes_[node].incarnation;
   At(now_ + after, [this, node, incarnation, whole] {
     const bool away = IsCutOffFromStore(node);
-    dispatch::CatalogAnswered answer;
+    dispatch::CatalogReceived answer;
     answer.outcome = away ? StoreOutcome::kNotDone : StoreOutcome::kDone;
     if (!away && whole) answer.catalog = catalog_;
     answer.names_all_halls = !away;
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -40,7 +40,7 @@
   /// Puts a configuration in force; returns the effects.
   Effects ReadCatalog() {
     Reduce(TimerFired());
-    CatalogAnswered answer;
+    CatalogReceived answer;
     answer.outcome = StoreOutcome::kDone;
     answer.catalog = Catalog();
     answer.catalog->version = CatalogVersion(1);
