--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -65,7 +65,7 @@
   Duration stall_timeout{3000};
   /// More patience for long runs: the expected time of so many percent, since
   /// a slow runner takes six times as long for each.
-  int stall_percents = 8;
+  int stall_timeout_percent = 8;
   /// Rest of a runner on which a run stands still.
   Duration stall_pause{4000};
   /// Progress over at least this time tells a run's pace.
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -120,7 +120,7 @@
   // A percent of a slow run takes its time.
   const Duration percent = run->expected / kAllDone;
   const Duration patience =
-      options_.stall_timeout + percent * options_.stall_percents;
+      options_.stall_timeout + percent * options_.stall_timeout_percent;
   if (ctx.now() - run->progressed_at < patience) return;
   ctx.Log(LogId::kRunStalled, {{"task", ToString(name)},
                                {"runner", runner->id().value()},
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -46,7 +46,7 @@
       {"quick-failure-percent", &scheduler.early_failure_percent},
       {"unwell-pause", &scheduler.unhealthy_backoff},
       {"stall-patience", &scheduler.stall_timeout},
-      {"stall-percents", &scheduler.stall_percents},
+      {"stall-percents", &scheduler.stall_timeout_percent},
       {"stall-pause", &scheduler.stall_pause},
       {"slow-run", &scheduler.slow_run},
       {"move-gain", &scheduler.move_gain},
