--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -348,7 +348,7 @@
   // The first look tells the runner's clock, which a renewal needs.
   poll.wait = runner->reachable() ? WaitFor(*runner) : Duration(0);
   runner->look_in_flight = true;
-  runner->look_number = poll.number;
+  runner->poll_number = poll.number;
   runner->look_grants = renew;
   runner->look_tells = poll.acknowledged_end;
   runner->look_sent_at = ctx.now();
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -281,7 +281,7 @@
   // The exchange of what runs there.
   bool look_in_flight = false;
   /// The newest look; answers to others are dropped.
-  PollNumber look_number;
+  PollNumber poll_number;
   /// It grants a lease.
   bool look_grants = false;
   /// A birth that the entry told, for which the runner was looked at.
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -128,11 +128,11 @@
   }
   const bool granted_now = before->look_grants;
   const TimePoint look_sent_at = before->look_sent_at;
-  const PollNumber look_number = before->look_number;
+  const PollNumber poll_number = before->poll_number;
   Runner* next = fleet_.BeginLife(before, start_time, now);
   // The look that told of it is its first one.
   next->look_sent_at = look_sent_at;
-  next->look_number = look_number;
+  next->poll_number = poll_number;
   next->NoteForeignGrant(granted_now ? now : TimePoint(),
                          options_.fleet.longest_lease);
   return next;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -215,7 +215,7 @@
   Runner* runner = fleet_.Find(answer.asked);
   // Another look may have left since, on a hint that another life is there.
   const bool is_newest =
-      runner != nullptr && answer.number == runner->look_number;
+      runner != nullptr && answer.number == runner->poll_number;
   if (!is_newest) return LeaseStatus::kHeld;
   runner->look_in_flight = false;
   if (answer.outcome == OrderOutcome::kOtherLife) {
