--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -74,14 +74,14 @@
   return std::move(plan_);
 }
 
-IdleRoom Planner::Pass::MeasureIdleRoom() {
+IdleAccelerators Planner::Pass::MeasureIdleRoom() {
   std::map<const Runner*, std::int64_t> assigned;
   for (const Assignment& assignment : plan_.assignments) {
     const Job* job = jobs_.Find(assignment.task.job);
     assigned[assignment.runner] +=
         job->step_spec(assignment.task.step).need.accelerators;
   }
-  IdleRoom room;
+  IdleAccelerators room;
   for (const Candidate& seat : seating_.seats()) {
     const std::int64_t idle = std::max<std::int64_t>(
         0, seat.runner->free_room().accelerators - assigned[seat.runner]);
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -140,7 +140,7 @@
 };
 
 /// Accelerators of the runners that may be given work, after a pass.
-struct IdleRoom {
+struct IdleAccelerators {
   std::int64_t all = 0;
   /// Not taken by any run, in racks that only urgent work is placed on.
   std::int64_t urgent_racks = 0;
@@ -155,7 +155,7 @@
   std::vector<Preemption> preemptions;
   std::vector<StepWait> waits;
   std::vector<AdviceWish> advice_wishes;
-  IdleRoom idle_room;
+  IdleAccelerators idle_room;
   /// Steps that wait, for whatever reason.
   int steps_waiting = 0;
   /// Steps that were tried, as a measure of the pass's cost.
--- a/src/dispatch/planner_pass.h
+++ b/src/dispatch/planner_pass.h
@@ -66,7 +66,7 @@
   /// Keeps the reason of a step that is not tried in this pass.
   void KeepWait(const Unit& unit);
   /// What is idle after this pass, and for whom.
-  IdleRoom MeasureIdleRoom();
+  IdleAccelerators MeasureIdleRoom();
 
   // Units and their order.
   /// Chooses the racks that only urgent work is placed on: always the same
