--- a/src/dispatch/catalog_watcher.h
+++ b/src/dispatch/catalog_watcher.h
@@ -16,7 +16,7 @@
 namespace limeledge::dispatch {
 
 /// Timing of following the configuration.
-struct CatalogFollowerOptions {
+struct CatalogWatcherOptions {
   /// A following call is answered after this long without a change.
   Duration wait{2000};
   /// Its answer may come this much later.
@@ -34,7 +34,7 @@
 /// Thread safety: none; use it from one thread.
 class CatalogWatcher {
  public:
-  explicit CatalogWatcher(CatalogFollowerOptions options = {})
+  explicit CatalogWatcher(CatalogWatcherOptions options = {})
       : options_(options) {}
 
   /// Sends the next call when it is due.
@@ -55,7 +55,7 @@
   /// Takes in which halls are to be emptied.
   void TakeHalls(Context& ctx, const CatalogReceived& answer);
 
-  CatalogFollowerOptions options_;
+  CatalogWatcherOptions options_;
   std::optional<Catalog> catalog_;
   std::set<HallId> emptied_halls_;
   bool under_way_ = false;
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -30,7 +30,7 @@
   LeadershipOptions leadership;
   SchedulerOptions scheduler;
   DeskOptions desk;
-  CatalogFollowerOptions catalog;
+  CatalogWatcherOptions catalog;
   PeerCheckOptions peers;
   /// Callers are served for this long after a stop was asked for: until the
   /// balancer has noticed, and well before the process is killed.
