--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -67,7 +67,7 @@
   /// a slow runner takes six times as long for each.
   int stall_timeout_percent = 8;
   /// Rest of a runner on which a run stands still.
-  Duration stall_pause{4000};
+  Duration stall_backoff{4000};
   /// Progress over at least this time tells a run's pace.
   Duration pace_interval{600};
   /// A run that is this much slower than expected, on a runner that counts as
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -125,7 +125,7 @@
   ctx.Log(LogId::kRunStalled, {{"task", ToString(name)},
                                {"runner", runner->id().value()},
                                {"percent", std::to_string(run->percent)}});
-  Avoid(ctx, runner, options_.stall_pause, "a run stands still");
+  Avoid(ctx, runner, options_.stall_backoff, "a run stands still");
   AskStop(ctx, runner, name);
 }
 
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -47,7 +47,7 @@
       {"unwell-pause", &scheduler.unhealthy_backoff},
       {"stall-patience", &scheduler.stall_timeout},
       {"stall-percents", &scheduler.stall_timeout_percent},
-      {"stall-pause", &scheduler.stall_pause},
+      {"stall-pause", &scheduler.stall_backoff},
       {"slow-run", &scheduler.slow_run},
       {"move-gain", &scheduler.move_gain},
       {"most-moves", &scheduler.most_moves},
