--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -211,7 +211,7 @@
            {"born", ToString(start_time)},
            {"known", ToString(runner->incarnation().start_time)}});
   // One that is under way may wait on a connection that is dead.
-  runner->look_in_flight = false;
+  runner->poll_in_flight = false;
   runner->ended = false;
   runner->next_look_at = ctx.now();
 }
@@ -246,7 +246,7 @@
 
 TimePoint Fleet::LookDueAt(const Runner& runner) const {
   const bool quiet =
-      runner.look_in_flight || runner.ended || runner.info().address.empty();
+      runner.poll_in_flight || runner.ended || runner.info().address.empty();
   if (quiet) return kNever;
   if (runner.AllEndsAreAcknowledged()) return runner.next_look_at;
   // A look that does not tell newer ends as known would be answered at once.
@@ -272,7 +272,7 @@
   Unschedule(runner);
   FiledLook& filed = runner->filed_look;
   filed.first = !runner->heard();
-  filed.under_way_as_first = filed.first && runner->look_in_flight;
+  filed.under_way_as_first = filed.first && runner->poll_in_flight;
   if (filed.under_way_as_first) ++first_looks_;
   const TimePoint at = LookDueAt(*runner);
   if (at == kNever) return;
@@ -347,7 +347,7 @@
   }
   // The first look tells the runner's clock, which a renewal needs.
   poll.wait = runner->reachable() ? WaitFor(*runner) : Duration(0);
-  runner->look_in_flight = true;
+  runner->poll_in_flight = true;
   runner->poll_number = poll.number;
   runner->look_grants = renew;
   runner->look_tells = poll.acknowledged_end;
@@ -414,7 +414,7 @@
   for (auto it = runners_.begin(); it != runners_.end();) {
     const Runner& runner = *it->second;
     const bool gone =
-        !runner.listed() && runner.runs().empty() && !runner.look_in_flight &&
+        !runner.listed() && runner.runs().empty() && !runner.poll_in_flight &&
         !runner.order_in_flight &&
         ctx.now() - runner.unlisted_at() >= options_.unlisted_grace;
     if (!gone) {
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -279,7 +279,7 @@
   LateOrders late_orders;
 
   // The exchange of what runs there.
-  bool look_in_flight = false;
+  bool poll_in_flight = false;
   /// The newest look; answers to others are dropped.
   PollNumber poll_number;
   /// It grants a lease.
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -217,7 +217,7 @@
   const bool is_newest =
       runner != nullptr && answer.number == runner->poll_number;
   if (!is_newest) return LeaseStatus::kHeld;
-  runner->look_in_flight = false;
+  runner->poll_in_flight = false;
   if (answer.outcome == OrderOutcome::kOtherLife) {
     EndAll(ctx, runner, "another life answers at its address");
     return LeaseStatus::kHeld;
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -78,7 +78,7 @@
 
   /// The look at the runner got no answer; the next one is due after a pause.
   void LoseLook(Runner * runner) {
-    runner->look_in_flight = false;
+    runner->poll_in_flight = false;
     runner->Missed(now);
     const FleetOptions options;
     runner->next_look_at =
@@ -149,7 +149,7 @@
   runner->Heard(now, 500000);
   CHECK_TRUE(Poll().has_value());
   const TimePoint over = runner->lease_over_at();
-  runner->look_in_flight = false;
+  runner->poll_in_flight = false;
   runner->Missed(now);
   now = now + Duration(2000);
   const std::optional<PollRunner> poll = Poll();
@@ -176,7 +176,7 @@
   CHECK_TRUE(fleet.next_at() > now);
   const auto* poll = std::get_if<PollRunner>(&effects.front());
   Runner* answered = fleet.Find(poll->target.incarnation);
-  answered->look_in_flight = false;
+  answered->poll_in_flight = false;
   answered->Heard(now, 1000);
   answered->next_look_at = now + Duration(500);
   Context second = NewContext();
@@ -323,10 +323,10 @@
   Run& run = runner->runs().begin()->second;
   run.phase = RunPhase::kUnsure;
   LONGS_EQUAL(0, Poll()->wait.ms());
-  runner->look_in_flight = false;
+  runner->poll_in_flight = false;
   run.stop.Sent(now);
   LONGS_EQUAL(FleetOptions().doubt_wait.ms(), Poll()->wait.ms());
-  runner->look_in_flight = false;
+  runner->poll_in_flight = false;
   run.stop.Answered(true);
   LONGS_EQUAL(0, Poll()->wait.ms());
 }
@@ -395,10 +395,10 @@
   runner->newest_end = 4;
   now = now + FleetOptions().tell_ends_within + Duration(1);
   LONGS_EQUAL(0, Poll()->acknowledged_end);
-  runner->look_in_flight = false;
+  runner->poll_in_flight = false;
   runner->Heard(now, 500101);
   LONGS_EQUAL(4, Poll()->acknowledged_end);
-  runner->look_in_flight = false;
+  runner->poll_in_flight = false;
   runner->told_end = 4;
   runner->Heard(now, 500101);
   LONGS_EQUAL(0, Poll()->acknowledged_end);
@@ -423,7 +423,7 @@
   const std::optional<PollRunner> held = Poll();
   LONGS_EQUAL(2, held->acknowledged_end);
   LONGS_EQUAL(0, held->until_ms);
-  runner->look_in_flight = false;
+  runner->poll_in_flight = false;
   now = until;
   runner->Heard(now, until.ms());
   runner->ReleaseHeldEnds(now);
