--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -69,7 +69,7 @@
   }
   DropOldClaims();
   plan_.steps_waiting = static_cast<int>(waits_.size());
-  plan_.idle_room = MeasureIdleRoom();
+  plan_.idle_accelerators = MeasureIdleRoom();
   planner_.waits_ = std::move(waits_);
   return std::move(plan_);
 }
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -155,7 +155,7 @@
   std::vector<Preemption> preemptions;
   std::vector<StepWait> waits;
   std::vector<AdviceWish> advice_wishes;
-  IdleAccelerators idle_room;
+  IdleAccelerators idle_accelerators;
   /// Steps that wait, for whatever reason.
   int steps_waiting = 0;
   /// Steps that were tried, as a measure of the pass's cost.
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -275,7 +275,7 @@
 void Scheduler::TellIdleRoom(Context& ctx, const Plan& plan) {
   if (plan.steps_waiting == 0 || ctx.now() < next_idle_room_) return;
   next_idle_room_ = ctx.now() + options_.idle_room_interval;
-  const IdleAccelerators& room = plan.idle_room;
+  const IdleAccelerators& room = plan.idle_accelerators;
   ctx.Log(LogId::kIdleRoom,
           {{"steps", std::to_string(plan.steps_waiting)},
            {"accelerators", std::to_string(room.all)},
