--- a/src/dispatch/job_cleaner.h
+++ b/src/dispatch/job_cleaner.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "dispatch/context.h"
-#include "dispatch/job_book.h"
+#include "dispatch/job_registry.h"
 #include "dispatch/state_writer.h"
 
 namespace limeledge::dispatch {
--- a/src/dispatch/job_book.h
+++ b/src/dispatch/job_registry.h
@@ -5,8 +5,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_DISPATCH_JOB_BOOK_H_
-#define LIMELEDGE_SRC_DISPATCH_JOB_BOOK_H_
+#ifndef LIMELEDGE_SRC_DISPATCH_JOB_REGISTRY_H_
+#define LIMELEDGE_SRC_DISPATCH_JOB_REGISTRY_H_
 
 #include <map>
 #include <memory>
@@ -143,4 +143,4 @@
 
 }  // namespace limeledge::dispatch
 
-#endif  // LIMELEDGE_SRC_DISPATCH_JOB_BOOK_H_
+#endif  // LIMELEDGE_SRC_DISPATCH_JOB_REGISTRY_H_
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -16,7 +16,7 @@
 #include "dispatch/advice_book.h"
 #include "dispatch/catalog.h"
 #include "dispatch/fleet.h"
-#include "dispatch/job_book.h"
+#include "dispatch/job_registry.h"
 #include "dispatch/placement.h"
 #include "dispatch/planning_policy.h"
 #include "dispatch/run_times.h"
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "dispatch/job_book.h"
+#include "dispatch/job_registry.h"
 
 namespace limeledge::dispatch {
 
