--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -140,7 +140,7 @@
 };
 
 /// Answers to orders do not tell which life of the runner gave them.
-struct StartAnswered {
+struct StartRunCompleted {
   /// The life that the order was meant for.
   IncarnationId asked;
   Epoch epoch;
@@ -216,9 +216,9 @@
 
 using EventBody =
     std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesReceived,
-                 CatalogReceived, RunnersListed, RunnerPolled, StartAnswered,
-                 StopAnswered, AdviceAnswered, PeerAnswered, CallArrived,
-                 StopAsked, SettingsReloaded, StateAsked>;
+                 CatalogReceived, RunnersListed, RunnerPolled,
+                 StartRunCompleted, StopAnswered, AdviceAnswered, PeerAnswered,
+                 CallArrived, StopAsked, SettingsReloaded, StateAsked>;
 
 struct Event {
   TimePoint now;
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -170,7 +170,7 @@
   if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
 }
 
-void Node::Handle(Context& ctx, const StartAnswered& event) {
+void Node::Handle(Context& ctx, const StartRunCompleted& event) {
   if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
 }
 
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -151,7 +151,7 @@
   void Handle(Context& ctx, const ChangesReceived& answer);
   void Handle(Context& ctx, const RunnersListed& answer);
   LeaseStatus Handle(Context& ctx, const RunnerPolled& answer);
-  LeaseStatus Handle(Context& ctx, const StartAnswered& answer);
+  LeaseStatus Handle(Context& ctx, const StartRunCompleted& answer);
   LeaseStatus Handle(Context& ctx, const StopAnswered& answer);
   void Handle(Context& ctx, const AdviceAnswered& answer);
 
@@ -221,11 +221,11 @@
   /// The runner's order under way was answered or lost.
   void NoteOrderAnswered(Runner* runner);
   /// Notes a start of which a sending got no answer: it may come late.
-  void NoteLateStart(TimePoint now, Runner* runner, const StartAnswered& answer,
-                     const Run& run);
+  void NoteLateStart(TimePoint now, Runner* runner,
+                     const StartRunCompleted& answer, const Run& run);
   /// A start that was refused, or whose outcome is not known.
   void TakeFailedStart(Context& ctx, Runner* runner,
-                       const StartAnswered& answer, Run* run);
+                       const StartRunCompleted& answer, Run* run);
   /// Has a run end: it is stopped, or dropped if its start was never sent.
   void AskStop(Context& ctx, Runner* runner, const TaskName& name);
   void StopAll(Context& ctx, const JobId& job);
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -50,7 +50,7 @@
 }
 
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
-                                         const StartAnswered& answer) {
+                                         const StartRunCompleted& answer) {
   if (answer.epoch != writer_.epoch()) return LeaseStatus::kHeld;
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
@@ -75,7 +75,7 @@
 }
 
 void Scheduler::NoteLateStart(TimePoint now, Runner* runner,
-                              const StartAnswered& answer, const Run& run) {
+                              const StartRunCompleted& answer, const Run& run) {
   const bool open = answer.may_repeat || answer.outcome == OrderOutcome::kLost;
   if (!open) return;
   const TimePoint until = now + options_.late_order;
@@ -85,7 +85,7 @@
 }
 
 void Scheduler::TakeFailedStart(Context& ctx, Runner* runner,
-                                const StartAnswered& answer, Run* run) {
+                                const StartRunCompleted& answer, Run* run) {
   ctx.Log(LogId::kStartFailed, {{"task", ToString(answer.task)},
                                 {"run", std::to_string(answer.run)},
                                 {"runner", answer.asked.runner.value()},
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -28,7 +28,7 @@
 constexpr Duration kTicketTime{3000};
 
 /// Tells with a start's answer that an earlier sending may still come.
-void NoteRepeated(bool repeated, dispatch::StartAnswered* answer) {
+void NoteRepeated(bool repeated, dispatch::StartRunCompleted* answer) {
   answer->may_repeat = repeated;
 }
 
@@ -239,14 +239,14 @@
 
 void EmulatedSystem::Perform(int node, const dispatch::StartRun& start) {
   CheckMayAct(node, "starts a run");
-  dispatch::StartAnswered answer{start.target.incarnation,
-                                 start.target.epoch,
-                                 start.task,
-                                 start.run,
-                                 OrderOutcome::kLost,
-                                 0,
-                                 false};
-  SendOrder<dispatch::StartAnswered>(
+  dispatch::StartRunCompleted answer{start.target.incarnation,
+                                     start.target.epoch,
+                                     start.task,
+                                     start.run,
+                                     OrderOutcome::kLost,
+                                     0,
+                                     false};
+  SendOrder<dispatch::StartRunCompleted>(
       node, start, answer,
       [this, start, answer](EmulatedRunner* runner, TimePoint sent_at) {
         const dispatch::StepName step{start.task.job, start.task.occurrence,
@@ -255,11 +255,11 @@
             !start.ticket.empty() &&
             !TicketIsFor(start.ticket, step, runner->info().incarnation());
         if (foreign) {
-          dispatch::StartAnswered refused = answer;
+          dispatch::StartRunCompleted refused = answer;
           refused.outcome = OrderOutcome::kNoTicket;
           return refused;
         }
-        dispatch::StartAnswered done = runner->Start(start);
+        dispatch::StartRunCompleted done = runner->Start(start);
         if (done.outcome == OrderOutcome::kDone) {
           CheckStart(*runner, start, sent_at);
         }
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -206,8 +206,9 @@
   NoteLapse();
 }
 
-dispatch::StartAnswered EmulatedRunner::Start(const dispatch::StartRun& order) {
-  dispatch::StartAnswered answer;
+dispatch::StartRunCompleted EmulatedRunner::Start(
+    const dispatch::StartRun& order) {
+  dispatch::StartRunCompleted answer;
   answer.asked = order.target.incarnation;
   answer.epoch = order.target.epoch;
   answer.task = order.task;
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -83,7 +83,7 @@
   /// The next moment at which something ends by itself.
   TimePoint next_at() const;
 
-  dispatch::StartAnswered Start(const dispatch::StartRun& order);
+  dispatch::StartRunCompleted Start(const dispatch::StartRun& order);
   dispatch::StopAnswered Stop(const dispatch::StopRun& order);
   dispatch::RunnerPolled Poll(const dispatch::PollRunner& poll);
   /// True if this life was first looked at longer ago than `time`.
--- a/test/runner-client-test.cc
+++ b/test/runner-client-test.cc
@@ -56,7 +56,7 @@
     start.task.job = JobId("00000000000000aa");
     start.run = 1;
     std::promise<OrderOutcome> told;
-    client.Start(start, [&told](const dispatch::StartAnswered& answer) {
+    client.Start(start, [&told](const dispatch::StartRunCompleted& answer) {
       told.set_value(answer.outcome);
     });
     return told.get_future().get();
