--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -73,7 +73,7 @@
   /// A run that is this much slower than expected, on a runner that counts as
   /// slow, is moved if it would go on for this many times its whole expected
   /// time, and a stop more.
-  double slow_run = 3.0;
+  double slow_run_ratio = 3.0;
   double move_gain = 1.5;
   Duration move_cost{500};
   /// Runs of a task after which it is not moved any more.
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -54,8 +54,8 @@
   const double left = length * (kAllDone - run.percent) / kAllDone;
   // Known lengths of the step's other runs are a surer ground than guesses.
   const double bound = elsewhere > Duration(0)
-                           ? options_.slow_run
-                           : std::max(*factor, options_.slow_run);
+                           ? options_.slow_run_ratio
+                           : std::max(*factor, options_.slow_run_ratio);
   const bool told_by_others =
       elsewhere > Duration(0) || runner->IsSlowBesides(job->spec().id);
   if (ratio > bound && told_by_others) {
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -48,7 +48,7 @@
       {"stall-patience", &scheduler.stall_timeout},
       {"stall-percents", &scheduler.stall_timeout_percent},
       {"stall-pause", &scheduler.stall_backoff},
-      {"slow-run", &scheduler.slow_run},
+      {"slow-run", &scheduler.slow_run_ratio},
       {"move-gain", &scheduler.move_gain},
       {"most-moves", &scheduler.most_moves},
       {"moves-unsaved", &scheduler.moves_unsaved},
