--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -213,7 +213,7 @@
   // One that is under way may wait on a connection that is dead.
   runner->poll_in_flight = false;
   runner->ended = false;
-  runner->next_look_at = ctx.now();
+  runner->next_poll_at = ctx.now();
 }
 
 bool Fleet::MayHaveLapsed(TimePoint now) const {
@@ -248,9 +248,9 @@
   const bool quiet =
       runner.poll_in_flight || runner.ended || runner.info().address.empty();
   if (quiet) return kNever;
-  if (runner.AllEndsAreAcknowledged()) return runner.next_look_at;
+  if (runner.AllEndsAreAcknowledged()) return runner.next_poll_at;
   // A look that does not tell newer ends as known would be answered at once.
-  return std::max(runner.next_look_at,
+  return std::max(runner.next_poll_at,
                   runner.look_sent_at + options_.store_patience);
 }
 
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -289,7 +289,7 @@
   /// How the fleet has filed the next look.
   FiledLook filed_look;
   TimePoint look_sent_at;
-  TimePoint next_look_at;
+  TimePoint next_poll_at;
   /// Up to which end it tells the runner that all are known, and what the
   /// runner was told so and answered.
   std::int64_t look_tells = 0;
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -94,7 +94,7 @@
   orders_due_.insert(runner->id());
   const Duration pause = std::min(options_.fleet.retry_pause * runner->misses(),
                                   options_.fleet.longest_retry_pause);
-  runner->next_look_at = ctx.now() + pause;
+  runner->next_poll_at = ctx.now() + pause;
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -237,7 +237,7 @@
   }
   NoteHeard(ctx, runner, answer.clock_ms);
   runner->told_end = std::max(runner->told_end, runner->look_tells);
-  runner->next_look_at = ctx.now();
+  runner->next_poll_at = ctx.now();
   const bool all_taken = TakeEnds(ctx, runner, answer.ended) &&
                          answer.ended.size() < kMostListedEnds;
   for (const ListedRun& run : answer.running) TakeRunning(ctx, runner, run);
@@ -256,7 +256,7 @@
   for (const ListedEnd& end : ends) {
     if (!book_.Knows(end.task.job)) {
       // An end that is not told as known would be answered at once again.
-      runner->next_look_at = ctx.now() + options_.fleet.store_patience;
+      runner->next_poll_at = ctx.now() + options_.fleet.store_patience;
       return false;
     }
     TakeEnd(ctx, runner, end);
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -81,7 +81,7 @@
     runner->poll_in_flight = false;
     runner->Missed(now);
     const FleetOptions options;
-    runner->next_look_at =
+    runner->next_poll_at =
         now + std::min(options.retry_pause * runner->misses(),
                        options.longest_retry_pause);
   }
@@ -178,7 +178,7 @@
   Runner* answered = fleet.Find(poll->target.incarnation);
   answered->poll_in_flight = false;
   answered->Heard(now, 1000);
-  answered->next_look_at = now + Duration(500);
+  answered->next_poll_at = now + Duration(500);
   Context second = NewContext();
   fleet.Poll(second, Epoch(1), true, true);
   LONGS_EQUAL(1, effects.size());
@@ -409,7 +409,7 @@
   runner->Heard(now, 500000);
   runner->newest_end = 4;
   LoseLook(runner);
-  now = runner->next_look_at;
+  now = runner->next_poll_at;
   LONGS_EQUAL(0, Poll()->acknowledged_end);
 }
 
