--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -108,7 +108,7 @@
 };
 
 /// A step that waits for tickets, and the runners that suit it, best first.
-struct AdviceWish {
+struct AdviceRequest {
   StepName step;
   std::vector<IncarnationId> runners;
 };
@@ -154,7 +154,7 @@
   std::vector<Assignment> assignments;
   std::vector<Preemption> preemptions;
   std::vector<StepWait> waits;
-  std::vector<AdviceWish> advice_wishes;
+  std::vector<AdviceRequest> advice_wishes;
   IdleAccelerators idle_accelerators;
   /// Steps that wait, for whatever reason.
   int steps_waiting = 0;
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -82,7 +82,7 @@
 
 void Planner::Pass::WishForAdvice(const Unit& unit,
                                   const PlacementRequest& request) {
-  AdviceWish wish;
+  AdviceRequest wish;
   wish.step = unit.key;
   std::vector<IncarnationId> full;
   for (const Candidate& seat : seating_.seats()) {
