--- a/src/dispatch/job_book.cc
+++ b/src/dispatch/job_registry.cc
@@ -4,13 +4,14 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
+#include "dispatch/job_registry.h"
+
 #include <algorithm>
 #include <utility>
 
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
 #include "absl/strings/strip.h"
-#include "dispatch/job_registry.h"
 
 namespace limeledge::dispatch {
 
