--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -152,7 +152,7 @@
   bool may_repeat = false;
 };
 
-struct StopAnswered {
+struct StopRunCompleted {
   IncarnationId asked;
   Epoch epoch;
   TaskName task;
@@ -217,8 +217,9 @@
 using EventBody =
     std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesReceived,
                  CatalogReceived, RunnersListed, RunnerPolled,
-                 StartRunCompleted, StopAnswered, AdviceAnswered, PeerAnswered,
-                 CallArrived, StopAsked, SettingsReloaded, StateAsked>;
+                 StartRunCompleted, StopRunCompleted, AdviceAnswered,
+                 PeerAnswered, CallArrived, StopAsked, SettingsReloaded,
+                 StateAsked>;
 
 struct Event {
   TimePoint now;
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -174,7 +174,7 @@
   if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
 }
 
-void Node::Handle(Context& ctx, const StopAnswered& event) {
+void Node::Handle(Context& ctx, const StopRunCompleted& event) {
   if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
 }
 
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -86,7 +86,7 @@
   void Handle(Context& ctx, const RunnersListed& event);
   void Handle(Context& ctx, const RunnerPolled& event);
   void Handle(Context& ctx, const StartRunCompleted& event);
-  void Handle(Context& ctx, const StopAnswered& event);
+  void Handle(Context& ctx, const StopRunCompleted& event);
   void Handle(Context& ctx, const AdviceAnswered& event);
   void Handle(Context& ctx, const PeerAnswered& event);
   void Handle(Context& ctx, const CallArrived& event);
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -152,7 +152,7 @@
   void Handle(Context& ctx, const RunnersListed& answer);
   LeaseStatus Handle(Context& ctx, const RunnerPolled& answer);
   LeaseStatus Handle(Context& ctx, const StartRunCompleted& answer);
-  LeaseStatus Handle(Context& ctx, const StopAnswered& answer);
+  LeaseStatus Handle(Context& ctx, const StopRunCompleted& answer);
   void Handle(Context& ctx, const AdviceAnswered& answer);
 
   /// The process stood still for `time`: another may schedule since. Nothing is
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -115,7 +115,7 @@
 }
 
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
-                                         const StopAnswered& answer) {
+                                         const StopRunCompleted& answer) {
   if (answer.epoch != writer_.epoch()) return LeaseStatus::kHeld;
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -33,7 +33,7 @@
 }
 
 /// Stops are harmless however late they come.
-void NoteRepeated(bool, dispatch::StopAnswered*) {}
+void NoteRepeated(bool, dispatch::StopRunCompleted*) {}
 
 }  // namespace
 
@@ -269,13 +269,13 @@
 
 void EmulatedSystem::Perform(int node, const dispatch::StopRun& stop) {
   CheckMayAct(node, "stops a run");
-  dispatch::StopAnswered answer{stop.target.incarnation,
-                                stop.target.epoch,
-                                stop.task,
-                                stop.run,
-                                OrderOutcome::kLost,
-                                0};
-  SendOrder<dispatch::StopAnswered>(
+  dispatch::StopRunCompleted answer{stop.target.incarnation,
+                                    stop.target.epoch,
+                                    stop.task,
+                                    stop.run,
+                                    OrderOutcome::kLost,
+                                    0};
+  SendOrder<dispatch::StopRunCompleted>(
       node, stop, answer, [this, stop](EmulatedRunner* runner, TimePoint) {
         Trace(absl::StrCat("stop ", ToString(stop.task), " run ", stop.run,
                            " at ", runner->info().id.value(), " by epoch ",
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -262,8 +262,9 @@
   if (truth.gang_size > 0) board_->Join(order.task, order.run, this);
 }
 
-dispatch::StopAnswered EmulatedRunner::Stop(const dispatch::StopRun& order) {
-  dispatch::StopAnswered answer;
+dispatch::StopRunCompleted EmulatedRunner::Stop(
+    const dispatch::StopRun& order) {
+  dispatch::StopRunCompleted answer;
   answer.asked = order.target.incarnation;
   answer.epoch = order.target.epoch;
   answer.task = order.task;
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -84,7 +84,7 @@
   TimePoint next_at() const;
 
   dispatch::StartRunCompleted Start(const dispatch::StartRun& order);
-  dispatch::StopAnswered Stop(const dispatch::StopRun& order);
+  dispatch::StopRunCompleted Stop(const dispatch::StopRun& order);
   dispatch::RunnerPolled Poll(const dispatch::PollRunner& poll);
   /// True if this life was first looked at longer ago than `time`.
   bool KnownFor(Duration time) const {
