--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -74,7 +74,7 @@
   /// slow, is moved if it would go on for this many times its whole expected
   /// time, and a stop more.
   double slow_run_ratio = 3.0;
-  double move_gain = 1.5;
+  double min_move_gain = 1.5;
   Duration move_cost{500};
   /// Runs of a task after which it is not moved any more.
   int most_moves = 2;
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -80,7 +80,8 @@
                              const Run& run, Duration left, Duration expected) {
   if (run.stopping || !runner->IsSlow()) return;
   if (run.number > options_.most_moves) return;
-  const double anew = options_.move_gain * static_cast<double>(expected.ms());
+  const double anew =
+      options_.min_move_gain * static_cast<double>(expected.ms());
   if (left < Duration(std::llround(anew)) + options_.move_cost) return;
   ctx.Log(LogId::kRunMoved, {{"task", ToString(name)},
                              {"runner", runner->id().value()},
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -49,7 +49,7 @@
       {"stall-percents", &scheduler.stall_timeout_percent},
       {"stall-pause", &scheduler.stall_backoff},
       {"slow-run", &scheduler.slow_run_ratio},
-      {"move-gain", &scheduler.move_gain},
+      {"move-gain", &scheduler.min_move_gain},
       {"most-moves", &scheduler.most_moves},
       {"moves-unsaved", &scheduler.moves_unsaved},
       {"learn-percent", &scheduler.learn_percent},
