--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -251,7 +251,7 @@
   if (runner.AllEndsAreAcknowledged()) return runner.next_poll_at;
   // A look that does not tell newer ends as known would be answered at once.
   return std::max(runner.next_poll_at,
-                  runner.look_sent_at + options_.store_patience);
+                  runner.poll_sent_at + options_.store_patience);
 }
 
 void Fleet::Touch(Runner* runner) {
@@ -351,7 +351,7 @@
   runner->poll_number = poll.number;
   runner->look_grants = renew;
   runner->look_tells = poll.acknowledged_end;
-  runner->look_sent_at = ctx.now();
+  runner->poll_sent_at = ctx.now();
   ctx.Emit(std::move(poll));
 }
 
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -288,7 +288,7 @@
   StartTime hinted;
   /// How the fleet has filed the next look.
   FiledLook filed_look;
-  TimePoint look_sent_at;
+  TimePoint poll_sent_at;
   TimePoint next_poll_at;
   /// Up to which end it tells the runner that all are known, and what the
   /// runner was told so and answered.
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -127,11 +127,11 @@
     before->late_orders.NoteGrant(now + options_.late_order);
   }
   const bool granted_now = before->look_grants;
-  const TimePoint look_sent_at = before->look_sent_at;
+  const TimePoint poll_sent_at = before->poll_sent_at;
   const PollNumber poll_number = before->poll_number;
   Runner* next = fleet_.BeginLife(before, start_time, now);
   // The look that told of it is its first one.
-  next->look_sent_at = look_sent_at;
+  next->poll_sent_at = poll_sent_at;
   next->poll_number = poll_number;
   next->NoteForeignGrant(granted_now ? now : TimePoint(),
                          options_.fleet.longest_lease);
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -398,7 +398,7 @@
   for (const auto& [name, run] : runner->runs()) {
     if (running.count(name) != 0) continue;
     // The look may have left before the order was carried out.
-    if (run.answered_at >= runner->look_sent_at) continue;
+    if (run.answered_at >= runner->poll_sent_at) continue;
     if (WasNeverSent(run.phase) || run.phase == RunPhase::kStarting) continue;
     const bool may_still_come =
         run.phase == RunPhase::kUnsure && !run.stop_answered;
