--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -154,7 +154,7 @@
   std::vector<Assignment> assignments;
   std::vector<Preemption> preemptions;
   std::vector<StepWait> waits;
-  std::vector<AdviceRequest> advice_wishes;
+  std::vector<AdviceRequest> advice_requests;
   IdleAccelerators idle_accelerators;
   /// Steps that wait, for whatever reason.
   int steps_waiting = 0;
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -91,7 +91,7 @@
     (fits ? wish.runners : full).push_back(seat.runner->incarnation());
   }
   wish.runners.insert(wish.runners.end(), full.begin(), full.end());
-  plan_.advice_wishes.push_back(std::move(wish));
+  plan_.advice_requests.push_back(std::move(wish));
 }
 
 Duration Planner::Pass::NearTimeOf(const Unit& unit) const {
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -190,7 +190,7 @@
                                 {"tasks", std::to_string(wait.tasks)},
                                 {"reason", ToString(wait.reason)}});
   }
-  for (const AdviceRequest& wish : plan.advice_wishes) {
+  for (const AdviceRequest& wish : plan.advice_requests) {
     advice_.Ask(ctx, wish.step, wish.runners);
   }
   for (const Preemption& displaced : plan.preemptions) {
