--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -23,7 +23,7 @@
 namespace limeledge::dispatch {
 
 /// Timing of reading and following jobs.
-struct JobBookOptions {
+struct JobRegistryOptions {
   /// A following call is answered after this long without a change. Short: new
   /// jobs are not seen while one waits on a connection that went silent.
   Duration follow_wait{500};
@@ -45,7 +45,8 @@
 class JobBook {
  public:
   /// `patience` outlives this object.
-  explicit JobBook(const StorePatience* patience, JobBookOptions options = {})
+  explicit JobBook(const StorePatience* patience,
+                   JobRegistryOptions options = {})
       : options_(options), patience_(patience) {}
 
   /// Sends the next call when it is due.
@@ -114,7 +115,7 @@
   bool ReadProgress(Context& ctx, const JobId& id, Job* job);
   void StoreCancel(const JobId& id, std::vector<JobId>* changed);
 
-  JobBookOptions options_;
+  JobRegistryOptions options_;
   const StorePatience* patience_;
   Stage stage_ = Stage::kReadProgress;
   bool loaded_ = false;
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -121,7 +121,7 @@
   const auto second = std::get<AwaitChanges>(Work().front());
   Lose(second);
   CHECK_TRUE(Work().empty());
-  now = now + JobBookOptions().retry_pause;
+  now = now + JobRegistryOptions().retry_pause;
   const auto third = std::get<AwaitChanges>(Work().front());
   CHECK_TRUE(third.timeout > second.timeout);
 }
@@ -140,7 +140,7 @@
 TEST(JobBook, BookThatCanReadNothingSleepsBetweenItsTries) {
   Answer(Work().front());
   for (int i = 0; i < 3; ++i) {
-    now = now + JobBookOptions().part_patience;
+    now = now + JobRegistryOptions().part_patience;
     for (const Effect& read : Work()) Refuse(read);
     CHECK_TRUE(book.next_at() > now);
     CHECK_FALSE(book.loaded());
@@ -193,7 +193,7 @@
       Answer(read, {}, 10);
     }
   }
-  now = now + JobBookOptions().part_patience;
+  now = now + JobRegistryOptions().part_patience;
   const Effects asked = Work();
   LONGS_EQUAL(2, asked.size());
   const Row cancel = MakeRow(kJobTable, id + kCancelSuffix, "{}");
