--- a/src/dispatch/advice_book.cc
+++ b/src/dispatch/advice_book.cc
@@ -54,7 +54,7 @@
   ctx.Emit(std::move(ask));
 }
 
-void AdviceBook::Handle(Context& ctx, const AdviceAnswered& answer) {
+void AdviceBook::Handle(Context& ctx, const AdviceReceived& answer) {
   under_way_ = false;
   const Duration stood_still = std::exchange(stood_still_, Duration());
   if (!answer.ok) {
--- a/src/dispatch/advice_book.h
+++ b/src/dispatch/advice_book.h
@@ -46,7 +46,7 @@
   /// something is to be learnt. Runners in front go first.
   void Ask(Context& ctx, const StepName& step,
            const std::vector<IncarnationId>& runners);
-  void Handle(Context& ctx, const AdviceAnswered& answer);
+  void Handle(Context& ctx, const AdviceReceived& answer);
   /// Forgets the job's steps.
   void Forget(const JobId& job);
   /// The process stood still for `time`: tickets that were under way are as
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -162,7 +162,7 @@
 };
 
 /// On which of the runners that were asked about the step may run.
-struct AdviceAnswered {
+struct AdviceReceived {
   StepName step;
   bool ok = false;
   std::vector<IncarnationId> asked;
@@ -217,7 +217,7 @@
 using EventBody =
     std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesReceived,
                  CatalogReceived, RunnersListed, RunnerPolled,
-                 StartRunCompleted, StopRunCompleted, AdviceAnswered,
+                 StartRunCompleted, StopRunCompleted, AdviceReceived,
                  PeerAnswered, CallArrived, StopAsked, SettingsReloaded,
                  StateAsked>;
 
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -178,7 +178,7 @@
   if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
 }
 
-void Node::Handle(Context& ctx, const AdviceAnswered& event) {
+void Node::Handle(Context& ctx, const AdviceReceived& event) {
   if (scheduler_ != nullptr) scheduler_->Handle(ctx, event);
 }
 
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -178,7 +178,7 @@
                [text = std::move(text)] { return text; });
 }
 
-void Scheduler::Handle(Context& ctx, const AdviceAnswered& answer) {
+void Scheduler::Handle(Context& ctx, const AdviceReceived& answer) {
   advice_.Handle(ctx, answer);
   plan_due_ = true;
 }
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -153,7 +153,7 @@
   LeaseStatus Handle(Context& ctx, const RunnerPolled& answer);
   LeaseStatus Handle(Context& ctx, const StartRunCompleted& answer);
   LeaseStatus Handle(Context& ctx, const StopRunCompleted& answer);
-  void Handle(Context& ctx, const AdviceAnswered& answer);
+  void Handle(Context& ctx, const AdviceReceived& answer);
 
   /// The process stood still for `time`: another may schedule since. Nothing is
   /// sent to runners, and nothing else written, until the store has confirmed
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -144,7 +144,7 @@
 }
 
 void EmulatedSystem::Perform(int node, const dispatch::AskAdvice& ask) {
-  dispatch::AdviceAnswered answer;
+  dispatch::AdviceReceived answer;
   answer.step = ask.step;
   answer.ok = true;
   answer.asked = ask.runners;
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -135,7 +135,7 @@
 
 // Advice is asked for by ids, and its tickets hold for one life each.
 TEST(Wire, TicketsAreThoseOfTheLivesThatWereAskedAbout) {
-  dispatch::AdviceAnswered answer;
+  dispatch::AdviceReceived answer;
   const dispatch::IncarnationId incarnation(RunnerId("i-1"),
                                             dispatch::StartTime(70));
   answer.asked = {incarnation};
