--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -77,7 +77,7 @@
   double min_move_gain = 1.5;
   Duration move_cost{500};
   /// Runs of a task after which it is not moved any more.
-  int most_moves = 2;
+  int max_moves = 2;
   /// Runs that save nothing are moved, too, off a runner that leaves before
   /// they would end.
   bool moves_unsaved = true;
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -79,7 +79,7 @@
 void Scheduler::MoveFromSlow(Context& ctx, Runner* runner, const TaskName& name,
                              const Run& run, Duration left, Duration expected) {
   if (run.stopping || !runner->IsSlow()) return;
-  if (run.number > options_.most_moves) return;
+  if (run.number > options_.max_moves) return;
   const double anew =
       options_.min_move_gain * static_cast<double>(expected.ms());
   if (left < Duration(std::llround(anew)) + options_.move_cost) return;
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -50,7 +50,7 @@
       {"stall-pause", &scheduler.stall_backoff},
       {"slow-run", &scheduler.slow_run_ratio},
       {"move-gain", &scheduler.min_move_gain},
-      {"most-moves", &scheduler.most_moves},
+      {"most-moves", &scheduler.max_moves},
       {"moves-unsaved", &scheduler.moves_unsaved},
       {"learn-percent", &scheduler.learn_percent},
       {"busy-wait", &fleet.busy_wait},
