--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -349,7 +349,7 @@
   poll.wait = runner->reachable() ? WaitFor(*runner) : Duration(0);
   runner->poll_in_flight = true;
   runner->poll_number = poll.number;
-  runner->look_grants = renew;
+  runner->poll_grants_lease = renew;
   runner->look_tells = poll.acknowledged_end;
   runner->poll_sent_at = ctx.now();
   ctx.Emit(std::move(poll));
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -283,7 +283,7 @@
   /// The newest look; answers to others are dropped.
   PollNumber poll_number;
   /// It grants a lease.
-  bool look_grants = false;
+  bool poll_grants_lease = false;
   /// A birth that the entry told, for which the runner was looked at.
   StartTime hinted;
   /// How the fleet has filed the next look.
--- a/src/dispatch/scheduler_lives.cc
+++ b/src/dispatch/scheduler_lives.cc
@@ -126,7 +126,7 @@
   if (start_under_way) {
     before->late_orders.NoteGrant(now + options_.late_order);
   }
-  const bool granted_now = before->look_grants;
+  const bool granted_now = before->poll_grants_lease;
   const TimePoint poll_sent_at = before->poll_sent_at;
   const PollNumber poll_number = before->poll_number;
   Runner* next = fleet_.BeginLife(before, start_time, now);
