--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -48,7 +48,7 @@
   /// Other work displaces lower priorities, and uses more of the urgent racks,
   /// once it must start within this time to be done by its objective, or missed
   /// it: room for a stop, twice over.
-  Duration press_margin{2500};
+  Duration deadline_margin{2500};
   /// Room that was made for a step is kept for it this long: the longest stop
   /// (0.4 to 0.9 s), and some for the news of it.
   Duration reservation_time{1300};
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -67,13 +67,13 @@
 
 bool Planner::Pass::IsShortOfTime(const Unit& unit) const {
   return Duration(unit.latest_start_wall_ms - wall_ms_) <=
-         options_.press_margin;
+         options_.deadline_margin;
 }
 
 bool Planner::Pass::IsPressed(const Unit& unit) {
   if (!IsShortOfTime(unit)) {
     const Duration left(unit.latest_start_wall_ms - wall_ms_);
-    WakeAt(now_ + left - options_.press_margin);
+    WakeAt(now_ + left - options_.deadline_margin);
     return false;
   }
   // Late work is still of worth, and would wait behind lower priorities that
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -33,7 +33,7 @@
       {"last-attempt-patience", &planner.last_attempt_patience},
       {"gang-patience", &planner.gang_patience},
       {"kept-gangs", &planner.max_reserved_gangs},
-      {"press-margin", &planner.press_margin},
+      {"press-margin", &planner.deadline_margin},
       {"claim-time", &planner.reservation_time},
       {"worthless-after", &planner.worthless_after},
       {"overdue-after", &planner.overdue_after},
