--- a/src/dispatch/desk.cc
+++ b/src/dispatch/desk.cc
@@ -180,7 +180,7 @@
   pending.stage = Stage::kSubmit;
   pending.stored_spec = EncodeJobSpec(spec);
   const RowKey key{kJobTable, id.value()};
-  pending.transaction.part = JobPart(id.value());
+  pending.transaction.part = JobPartition(id.value());
   pending.transaction.conditions.push_back({key, Revision()});
   pending.transaction.puts.push_back({key, pending.stored_spec});
   Send(ctx, std::move(pending));
@@ -213,7 +213,7 @@
   } else {
     const bool job = stage == Stage::kReadJob;
     read.table = job ? kJobTable : kProgressTable;
-    if (job) read.part = JobPart(pending.job.value());
+    if (job) read.part = JobPartition(pending.job.value());
     read.from = pending.job.value();
   }
   // The job and its cancelling: keys go on with a sign below '/'.
@@ -353,7 +353,7 @@
   pending.stage = Stage::kCancel;
   pending.misses = 0;
   const Row& job = answer.rows.front();
-  pending.transaction.part = JobPart(pending.job.value());
+  pending.transaction.part = JobPartition(pending.job.value());
   pending.transaction.conditions.push_back({job.key, job.revision});
   pending.transaction.puts.push_back(
       {{kJobTable, absl::StrCat(pending.job.value(), kCancelSuffix)}, "{}"});
--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -15,10 +15,10 @@
 
 std::vector<JobId> JobCleaner::ChooseJobs(const std::vector<JobId>& old) const {
   std::vector<JobId> chosen;
-  const std::string part = JobPart(old.front().value());
+  const std::string part = JobPartition(old.front().value());
   for (const JobId& id : old) {
     if (chosen.size() == options_.most_jobs) break;
-    if (JobPart(id.value()) == part) chosen.push_back(id);
+    if (JobPartition(id.value()) == part) chosen.push_back(id);
   }
   return chosen;
 }
@@ -37,7 +37,7 @@
   CommitRows commit;
   commit.ticket = call_;
   commit.lane = StoreLane::kParts;
-  commit.transaction.part = JobPart(jobs_.front().value());
+  commit.transaction.part = JobPartition(jobs_.front().value());
   for (const JobId& id : jobs_) {
     commit.transaction.removes.push_back({kJobTable, id.value()});
     commit.transaction.removes.push_back(
@@ -53,8 +53,9 @@
   if (answer.outcome != StoreOutcome::kDone) {
     // Removing what is gone already does no harm: all are tried again.
     next_at_ = ctx.now() + options_.retry_pause;
-    ctx.Log(LogId::kJobsNotCleared, {{"jobs", std::to_string(jobs_.size())},
-                                     {"part", JobPart(jobs_.front().value())}});
+    ctx.Log(LogId::kJobsNotCleared,
+            {{"jobs", std::to_string(jobs_.size())},
+             {"part", JobPartition(jobs_.front().value())}});
     return;
   }
   for (const JobId& id : jobs_) {
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -24,7 +24,7 @@
 }
 
 bool JobBook::Knows(const JobId& id) const {
-  return parts_read_.count(JobPart(id.value())) != 0;
+  return parts_read_.count(JobPartition(id.value())) != 0;
 }
 
 TimePoint JobBook::next_at() const {
--- a/src/dispatch/rows.cc
+++ b/src/dispatch/rows.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-std::string JobPart(const std::string& job) {
+std::string JobPartition(const std::string& job) {
   // The last digits of an id are as random as any.
   const unsigned last =
       job.empty() ? 0 : static_cast<unsigned char>(job.back());
--- a/src/dispatch/rows.h
+++ b/src/dispatch/rows.h
@@ -85,7 +85,7 @@
 /// part then takes 2.5 of them a second, and callers send up to ten.
 inline constexpr int kJobParts = 8;
 /// The part that holds a job's rows. Safe from any thread.
-std::string JobPart(const std::string& job);
+std::string JobPartition(const std::string& job);
 /// All of them. Safe from any thread.
 std::vector<std::string> AllJobParts();
 /// Behind a job's key: the row that asks for its cancelling.
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -150,7 +150,7 @@
   system.Run(Duration(3000));
   for (const JobId& job : jobs) {
     const bool away =
-        dispatch::JobPart(job.value()) == dispatch::AllJobParts()[0];
+        dispatch::JobPartition(job.value()) == dispatch::AllJobParts()[0];
     STRCMP_EQUAL(away ? "" : "done", system.StateOf(job).c_str());
   }
   CheckNoViolation();
@@ -214,7 +214,7 @@
 TEST(Outage, RunsOfAPartThatIsAwayKeepTheirLeases) {
   const JobId job = Submit(Step(1, 8, Duration(12000)));
   system.Run(Duration(1000));
-  system.faults().parts_down = {dispatch::JobPart(job.value())};
+  system.faults().parts_down = {dispatch::JobPartition(job.value())};
   system.KillNode(system.leader(), Duration(500));
   system.Run(Duration(9000));
   system.faults().parts_down.clear();
--- a/test/take-over-test.cc
+++ b/test/take-over-test.cc
@@ -112,7 +112,7 @@
     jobs.push_back(Submit(Step(1, 1, Duration(9000))));
   }
   system.Run(Duration(1000));
-  system.faults().parts_down = {dispatch::JobPart(jobs[0].value())};
+  system.faults().parts_down = {dispatch::JobPartition(jobs[0].value())};
   system.KillNode(system.leader(), Duration(500));
   system.Run(Duration(8000));
   system.faults().parts_down.clear();
@@ -138,7 +138,7 @@
     const JobId job = late.Submit(spec, {truth});
     late.Run(Duration(1000));
     const RunnerId runner("i-4-1");
-    late.faults().parts_down = {dispatch::JobPart(job.value())};
+    late.faults().parts_down = {dispatch::JobPartition(job.value())};
     late.KillNode(late.leader(), Duration(500));
     late.Run(Duration(cut_at));
     late.faults().unreachable_runners = {runner};
@@ -216,7 +216,7 @@
     system.FindRunner(id)->ForEachRun(
         [&](const dispatch::TaskName&, int) { runner = id; });
   }
-  system.faults().parts_down = {dispatch::JobPart(job.value())};
+  system.faults().parts_down = {dispatch::JobPartition(job.value())};
   system.KillNode(system.leader(), Duration(20000));
   system.Run(Duration(3000));
   system.CrashRunner(runner, Duration(1));
