--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -173,7 +173,7 @@
 };
 
 /// What a peer tells of the store.
-struct PeerAnswered {
+struct PeerReplied {
   std::string address;
   /// False if the peer itself does not answer.
   bool answered = false;
@@ -218,7 +218,7 @@
     std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesReceived,
                  CatalogReceived, RunnersListed, RunnerPolled,
                  StartRunCompleted, StopRunCompleted, AdviceReceived,
-                 PeerAnswered, CallArrived, StopAsked, SettingsReloaded,
+                 PeerReplied, CallArrived, StopAsked, SettingsReloaded,
                  StateAsked>;
 
 struct Event {
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -182,7 +182,7 @@
   if (scheduler_ != nullptr) scheduler_->Handle(ctx, event);
 }
 
-void Node::Handle(Context& ctx, const PeerAnswered& event) {
+void Node::Handle(Context& ctx, const PeerReplied& event) {
   peers_.Handle(ctx, event);
 }
 
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -88,7 +88,7 @@
   void Handle(Context& ctx, const StartRunCompleted& event);
   void Handle(Context& ctx, const StopRunCompleted& event);
   void Handle(Context& ctx, const AdviceReceived& event);
-  void Handle(Context& ctx, const PeerAnswered& event);
+  void Handle(Context& ctx, const PeerReplied& event);
   void Handle(Context& ctx, const CallArrived& event);
   void Handle(Context& ctx, const StopAsked& event);
   void Handle(Context& ctx, const SettingsReloaded& event);
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -144,7 +144,7 @@
   round_.asked = static_cast<int>(count);
 }
 
-void PeerCheck::Handle(Context& ctx, const PeerAnswered& answer) {
+void PeerCheck::Handle(Context& ctx, const PeerReplied& answer) {
   if (!lost_ || asked_.erase(answer.address) == 0) return;
   if (!answer.answered) {
     ++round_.silent;
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -73,7 +73,7 @@
   /// Takes in the end of a renewal.
   void Handle(Context& ctx, const CommitCompleted& answer);
   /// Takes in what a peer tells of the store.
-  void Handle(Context& ctx, const PeerAnswered& answer);
+  void Handle(Context& ctx, const PeerReplied& answer);
 
   StoreLoss loss() const { return loss_; }
 
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -48,7 +48,7 @@
 
 void EmulatedSystem::Perform(int node, const dispatch::AskPeer& ask) {
   const int incarnation = processes_[node].incarnation;
-  dispatch::PeerAnswered answer;
+  dispatch::PeerReplied answer;
   answer.address = ask.address;
   for (std::size_t i = 0; i < processes_.size(); ++i) {
     const Process& peer = processes_[i];
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -85,10 +85,10 @@
   }
 
   /// Asks, and has all that are asked give the same answer.
-  void Round(const PeerAnswered& word) {
+  void Round(const PeerReplied& word) {
     Work(false);
     for (const std::string& address : Asked()) {
-      PeerAnswered answer = word;
+      PeerReplied answer = word;
       answer.address = address;
       Context ctx = NewContext();
       check.Handle(ctx, answer);
@@ -96,8 +96,8 @@
     now = now + PeerCheckOptions().ask_interval;
   }
 
-  static PeerAnswered Word(bool store_answers, Duration age) {
-    PeerAnswered word;
+  static PeerReplied Word(bool store_answers, Duration age) {
+    PeerReplied word;
     word.answered = true;
     word.store_answers = store_answers;
     word.store_age = age;
@@ -124,7 +124,7 @@
 }
 
 TEST(PeerCheck, SilentPeersTellOfANodeThatIsCutOff) {
-  Round(PeerAnswered());
+  Round(PeerReplied());
   CHECK_TRUE(check.loss() == StoreLoss::kHereOnly);
 }
 
@@ -138,7 +138,7 @@
   TellPeers({"n0", "n1"});
   patience.Sent(Ticket(902), now);
   patience.Ended(Ticket(902), now, false);
-  Round(PeerAnswered());
+  Round(PeerReplied());
   CHECK_TRUE(check.loss() == StoreLoss::kUnknown);
 }
 
@@ -164,7 +164,7 @@
   const std::string early = Asked().front();
   now = now + PeerCheckOptions().ask_interval;
   Work(false);
-  PeerAnswered late = Word(true, Duration(0));
+  PeerReplied late = Word(true, Duration(0));
   late.address = early;
   Context ctx = NewContext();
   check.Handle(ctx, late);
