--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -80,7 +80,7 @@
   int max_moves = 2;
   /// Runs that save nothing are moved, too, off a runner that leaves before
   /// they would end.
-  bool moves_unsaved = true;
+  bool move_unsaved_runs = true;
   /// A run's length is learnt once it has done this much, in percent.
   int learn_percent = 20;
   /// Shortest time between two writes of the numbers of waiting jobs.
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -140,7 +140,7 @@
   // What saves nothing is lost either way: begun anew at once, it is not missed
   // only once its lease is over.
   const bool moves =
-      step.saves_progress || (options_.moves_unsaved && !step.long_running);
+      step.saves_progress || (options_.move_unsaved_runs && !step.long_running);
   if (!moves) return;
   // A runner that only seems to leave is sound as far as anybody can tell.
   const bool said_so = runner->info().draining;
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -51,7 +51,7 @@
       {"slow-run", &scheduler.slow_run_ratio},
       {"move-gain", &scheduler.min_move_gain},
       {"most-moves", &scheduler.max_moves},
-      {"moves-unsaved", &scheduler.moves_unsaved},
+      {"moves-unsaved", &scheduler.move_unsaved_runs},
       {"learn-percent", &scheduler.learn_percent},
       {"busy-wait", &fleet.busy_wait},
       {"idle-wait", &fleet.idle_wait},
