--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -394,7 +394,7 @@
 void SoakPlatform::OnLook(const emulator::EmulatedRunner& runner,
                           const dispatch::PollRunner& poll,
                           const dispatch::RunnerPolled& answer) {
-  oracle_.NoteLook(poll, answer, [&](std::int64_t end) {
+  oracle_.NotePoll(poll, answer, [&](std::int64_t end) {
     const bool same_life = runner.info().id == poll.target.incarnation.runner;
     return same_life && !runner.LapsedSince(end);
   });
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -82,13 +82,13 @@
   // back: what that life forgets by it breaks no promise.
   if (poll.target.incarnation != runner->info().incarnation()) return;
   oracle_.NoteUnread(unread);
-  NoteLook(poll, answer, *runner);
+  NotePoll(poll, answer, *runner);
 }
 
-void EmulatedSystem::NoteLook(const dispatch::PollRunner& poll,
+void EmulatedSystem::NotePoll(const dispatch::PollRunner& poll,
                               const dispatch::RunnerPolled& answer,
                               const EmulatedRunner& runner) {
-  oracle_.NoteLook(poll, answer, [&](std::int64_t end) {
+  oracle_.NotePoll(poll, answer, [&](std::int64_t end) {
     const bool same_runner = runner.info().id == poll.target.incarnation.runner;
     return same_runner && !runner.LapsedSince(end);
   });
@@ -138,7 +138,7 @@
     });
     return;
   }
-  NoteLook(poll, answer, *runner);
+  NotePoll(poll, answer, *runner);
   At(now_ + options_.network,
      [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
 }
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -162,7 +162,7 @@
   }
 }
 
-void PromiseOracle::NoteLook(const dispatch::PollRunner& poll,
+void PromiseOracle::NotePoll(const dispatch::PollRunner& poll,
                              const dispatch::RunnerPolled& answer,
                              const std::function<bool(std::int64_t)>& stands) {
   auto& listed = listed_[{poll.target.incarnation.runner, answer.start_time}];
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -97,7 +97,7 @@
   void NoteCrash(const dispatch::TaskName& task, TimePoint now);
   /// A runner answered a look. `stands`: the runner's lease has not run out
   /// since it listed the end of that number.
-  void NoteLook(const dispatch::PollRunner& poll,
+  void NotePoll(const dispatch::PollRunner& poll,
                 const dispatch::RunnerPolled& answer,
                 const std::function<bool(std::int64_t)>& stands);
   /// A life of a runner was told that those ends are known, though it never
