--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -30,7 +30,7 @@
   /// How long urgent work waits for a good place (one rack, near its data)
   /// before it takes any. With a claim that comes to nothing and the stop after
   /// it, less than the 2.9 to 3.4 s in which a workspace has its guarantee.
-  Duration urgent_patience{900};
+  Duration urgent_locality_wait{900};
   /// The same for other work. Below the 3 s after which a waiting task beside
   /// idle runners counts as forgotten.
   Duration patience{1500};
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -13,7 +13,7 @@
 namespace limeledge::dispatch {
 
 Duration Planner::Pass::PatienceOf(const Unit& unit) const {
-  return unit.policy.priority == 0 ? options_.urgent_patience
+  return unit.policy.priority == 0 ? options_.urgent_locality_wait
                                    : options_.patience;
 }
 
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -28,7 +28,7 @@
   SchedulerOptions& scheduler = options->scheduler;
   FleetOptions& fleet = options->scheduler.fleet;
   return {
-      {"urgent-patience", &planner.urgent_patience},
+      {"urgent-patience", &planner.urgent_locality_wait},
       {"patience", &planner.patience},
       {"last-attempt-patience", &planner.last_attempt_patience},
       {"gang-patience", &planner.gang_patience},
--- a/test/planning-test.cc
+++ b/test/planning-test.cc
@@ -112,7 +112,8 @@
 // Patience and a claim alone were longer than the guarantee.
 TEST(Planning, UrgentStartAfterAClaimThatCameToNothingKeepsTheGuarantee) {
   const dispatch::PlannerOptions planner;
-  const Duration waits = planner.urgent_patience + planner.reservation_time;
+  const Duration waits =
+      planner.urgent_locality_wait + planner.reservation_time;
   // Longest stop and guarantee of the users' deployments.
   CHECK_TRUE(waits + Duration(900) < Duration(3400));
   CHECK_TRUE(waits + Duration(400) < Duration(2900));
