--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -42,7 +42,7 @@
   jobs_asked_at_ = now;
   seen_ = Revision();
   readings_.clear();
-  for (const std::string& part : AllJobParts()) {
+  for (const std::string& part : AllJobPartitions()) {
     Reading reading;
     reading.part = part;
     readings_.push_back(std::move(reading));
--- a/src/dispatch/rows.cc
+++ b/src/dispatch/rows.cc
@@ -23,7 +23,7 @@
   return NameOfPart(last % kJobParts);
 }
 
-std::vector<std::string> AllJobParts() {
+std::vector<std::string> AllJobPartitions() {
   std::vector<std::string> parts;
   for (unsigned i = 0; i < kJobParts; ++i) parts.push_back(NameOfPart(i));
   return parts;
--- a/src/dispatch/rows.h
+++ b/src/dispatch/rows.h
@@ -87,7 +87,7 @@
 /// The part that holds a job's rows. Safe from any thread.
 std::string JobPartition(const std::string& job);
 /// All of them. Safe from any thread.
-std::vector<std::string> AllJobParts();
+std::vector<std::string> AllJobPartitions();
 /// Behind a job's key: the row that asks for its cancelling.
 inline constexpr char kCancelSuffix[] = ".cancel";
 
--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -233,7 +233,7 @@
         break;
       case 12:
         faults.parts_down.insert(
-            dispatch::AllJobParts()[Pick(0, dispatch::kJobParts - 1)]);
+            dispatch::AllJobPartitions()[Pick(0, dispatch::kJobParts - 1)]);
         break;
       case 13:
         faults.nodes_without_store = {LeaderOrAny()};
--- a/test/dispatch-course.h
+++ b/test/dispatch-course.h
@@ -203,7 +203,7 @@
         Heal();
         if (OneIn(2)) break;
         faults.parts_down = {
-            dispatch::AllJobParts()[Pick(0, dispatch::kJobParts - 1)]};
+            dispatch::AllJobPartitions()[Pick(0, dispatch::kJobParts - 1)]};
     }
   }
 
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -140,7 +140,7 @@
 
 // New jobs are seen while a part is away.
 TEST(Outage, JobsOfOtherPartsStartWhileAPartOfTheStoreIsAway) {
-  system.faults().parts_down = {dispatch::AllJobParts()[0]};
+  system.faults().parts_down = {dispatch::AllJobPartitions()[0]};
   system.KillNode(system.leader(), Duration(500));
   system.Run(Duration(5000));
   std::vector<JobId> jobs;
@@ -150,7 +150,7 @@
   system.Run(Duration(3000));
   for (const JobId& job : jobs) {
     const bool away =
-        dispatch::JobPartition(job.value()) == dispatch::AllJobParts()[0];
+        dispatch::JobPartition(job.value()) == dispatch::AllJobPartitions()[0];
     STRCMP_EQUAL(away ? "" : "done", system.StateOf(job).c_str());
   }
   CheckNoViolation();
--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -103,7 +103,7 @@
   system.KillNode(system.leader(), Duration(500));
   system.Run(Duration(10000));
   STRCMP_EQUAL("gone", system.StateOf(job).c_str());
-  for (const std::string& part : dispatch::AllJobParts()) {
+  for (const std::string& part : dispatch::AllJobPartitions()) {
     LONGS_EQUAL(
         0,
         system.store().Read(dispatch::kJobTable, part, "", "", 10).rows.size());
@@ -122,7 +122,7 @@
   constexpr int kJobs = 40;
   for (int i = 0; i < kJobs; ++i) Submit(Step(1, 0, Duration(100)));
   system.Run(Duration(20000));
-  for (const std::string& part : dispatch::AllJobParts()) {
+  for (const std::string& part : dispatch::AllJobPartitions()) {
     system.faults().parts_down.insert(part);
   }
   system.Run(Duration(175000));
--- a/test/take-over-test.cc
+++ b/test/take-over-test.cc
@@ -156,7 +156,7 @@
   options.guards_capacity = false;
   EmulatedSystem open(options);
   open.Run(Duration(3000));
-  const std::string away = dispatch::AllJobParts()[0];
+  const std::string away = dispatch::AllJobPartitions()[0];
   open.faults().parts_down = {away};
   open.KillNode(open.leader(), Duration(500));
   open.Run(Duration(5000));
