--- a/src/dispatch/desk.cc
+++ b/src/dispatch/desk.cc
@@ -77,7 +77,7 @@
 
 }  // namespace
 
-void Desk::Answer(Context& ctx, const CallArrived& call, CallResult result,
+void Desk::Answer(Context& ctx, const CallReceived& call, CallResult result,
                   const std::string& message, const std::string& state,
                   std::int64_t waiting) {
   const bool later =
@@ -99,7 +99,7 @@
   return others_serve ? Duration(0) : options_.retry_after;
 }
 
-const Queue* Desk::FindQueue(Context& ctx, const CallArrived& call,
+const Queue* Desk::FindQueue(Context& ctx, const CallReceived& call,
                              const Catalog& catalog, bool fresh,
                              WorkspaceId* workspace) {
   const Queue* queue = catalog.Match(call.host, call.path);
@@ -118,8 +118,9 @@
   return nullptr;
 }
 
-void Desk::Handle(Context& ctx, const CallArrived& call, const Catalog* catalog,
-                  TimePoint catalog_confirmed, bool store_answers) {
+void Desk::Handle(Context& ctx, const CallReceived& call,
+                  const Catalog* catalog, TimePoint catalog_confirmed,
+                  bool store_answers) {
   if (catalog == nullptr) {
     Answer(ctx, call, CallResult::kNotTaken, "no configuration yet");
     return;
@@ -148,7 +149,7 @@
   }
 }
 
-void Desk::BeginRead(Context& ctx, const CallArrived& call, const Queue& queue,
+void Desk::BeginRead(Context& ctx, const CallReceived& call, const Queue& queue,
                      const JobId& id) {
   Pending pending;
   pending.call = call;
@@ -163,7 +164,7 @@
   }
 }
 
-void Desk::Submit(Context& ctx, const CallArrived& call, const Queue& queue,
+void Desk::Submit(Context& ctx, const CallReceived& call, const Queue& queue,
                   const WorkspaceId& workspace, const JobId& id) {
   JobSpec spec = call.spec;
   spec.id = id;
--- a/src/dispatch/desk.h
+++ b/src/dispatch/desk.h
@@ -44,7 +44,7 @@
 
   /// Begins a call, or answers it at once. `store_answers`: false when the
   /// newest call of this node to the store failed.
-  void Handle(Context& ctx, const CallArrived& call, const Catalog* catalog,
+  void Handle(Context& ctx, const CallReceived& call, const Catalog* catalog,
               TimePoint catalog_confirmed, bool store_answers);
 
   bool Owns(Ticket ticket) const { return calls_.count(ticket) != 0; }
@@ -70,7 +70,7 @@
     kCount,
   };
   struct Pending {
-    CallArrived call;
+    CallReceived call;
     Stage stage = Stage::kSubmit;
     JobId job;
     QueueId queue;
@@ -89,13 +89,13 @@
 
   /// When callers that were not served are to come back.
   Duration TimeToComeBack() const;
-  const Queue* FindQueue(Context& ctx, const CallArrived& call,
+  const Queue* FindQueue(Context& ctx, const CallReceived& call,
                          const Catalog& catalog, bool fresh,
                          WorkspaceId* workspace);
   /// Begins a query, a count or a cancel.
-  void BeginRead(Context& ctx, const CallArrived& call, const Queue& queue,
+  void BeginRead(Context& ctx, const CallReceived& call, const Queue& queue,
                  const JobId& id);
-  void Submit(Context& ctx, const CallArrived& call, const Queue& queue,
+  void Submit(Context& ctx, const CallReceived& call, const Queue& queue,
               const WorkspaceId& workspace, const JobId& id);
   void Send(Context& ctx, Pending pending);
   void Read(Context& ctx, Pending pending, Stage stage);
@@ -113,7 +113,7 @@
   void TakeJob(Context& ctx, Pending pending, const ReadCompleted& answer);
   void TakeCount(Context& ctx, const Pending& pending,
                  const ReadCompleted& answer);
-  void Answer(Context& ctx, const CallArrived& call, CallResult result,
+  void Answer(Context& ctx, const CallReceived& call, CallResult result,
               const std::string& message = "", const std::string& state = "",
               std::int64_t waiting = -1);
 
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -187,7 +187,7 @@
 enum class CallKind { kSubmit, kQuery, kCancel, kOther };
 
 /// A caller's call, with its place still to be found in the catalog.
-struct CallArrived {
+struct CallReceived {
   CallId call;
   CallKind kind = CallKind::kOther;
   std::string host;
@@ -218,7 +218,7 @@
     std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesReceived,
                  CatalogReceived, RunnersListed, RunnerPolled,
                  StartRunCompleted, StopRunCompleted, AdviceReceived,
-                 PeerReplied, CallArrived, StopAsked, SettingsReloaded,
+                 PeerReplied, CallReceived, StopAsked, SettingsReloaded,
                  StateAsked>;
 
 struct Event {
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -186,7 +186,7 @@
   peers_.Handle(ctx, event);
 }
 
-void Node::Handle(Context& ctx, const CallArrived& event) {
+void Node::Handle(Context& ctx, const CallReceived& event) {
   desk_.Handle(ctx, event, catalog_.catalog(), catalog_.confirmed_at(),
                StoreAnswers());
 }
--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -23,7 +23,7 @@
 }  // namespace
 
 CallId EmulatedSystem::SendCall(
-    dispatch::CallArrived call,
+    dispatch::CallReceived call,
     std::function<void(const dispatch::AnswerCall*)> done) {
   last_call_ = last_call_.Next();
   const CallId id = last_call_;
@@ -70,7 +70,7 @@
 }
 
 void EmulatedSystem::SendSubmit(const JobId& job) {
-  dispatch::CallArrived call;
+  dispatch::CallReceived call;
   call.kind = dispatch::CallKind::kSubmit;
   const JobWatch& watch = *oracle_.Find(job);
   call.path = absl::StrCat(PrefixOf(oracle_.Find(job)->spec.policy.priority),
@@ -96,7 +96,7 @@
 }
 
 void EmulatedSystem::SendCancel(const JobId& job) {
-  dispatch::CallArrived call;
+  dispatch::CallReceived call;
   call.kind = dispatch::CallKind::kCancel;
   call.path = absl::StrCat(PrefixOf(oracle_.Find(job)->spec.policy.priority),
                            job.value());
@@ -115,7 +115,7 @@
 
 std::int64_t EmulatedSystem::Waiting() {
   constexpr int kOrdinaryPriority = 1;
-  dispatch::CallArrived call;
+  dispatch::CallReceived call;
   call.kind = dispatch::CallKind::kQuery;
   call.path = PrefixOf(kOrdinaryPriority);
   std::int64_t waiting = -1;
@@ -129,7 +129,7 @@
 }
 
 std::string EmulatedSystem::StateOf(const JobId& job) {
-  dispatch::CallArrived call;
+  dispatch::CallReceived call;
   call.kind = dispatch::CallKind::kQuery;
   call.path = absl::StrCat(PrefixOf(oracle_.Find(job)->spec.policy.priority),
                            job.value());
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -302,7 +302,7 @@
   void TakeAnswer(const dispatch::AnswerCall& answer);
   void SendSubmit(const JobId& job);
   void SendCancel(const JobId& job);
-  CallId SendCall(dispatch::CallArrived call,
+  CallId SendCall(dispatch::CallReceived call,
                   std::function<void(const dispatch::AnswerCall*)> done);
 
   /// What a life of a runner says of itself when it begins.
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -26,7 +26,7 @@
   }
 
   void Begin(CallKind kind, bool store_answers = true) {
-    CallArrived call;
+    CallReceived call;
     call.kind = kind;
     call.host = emulator::kHost;
     call.key = emulator::kKey;
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -100,7 +100,7 @@
 
 TEST(Node, CallBeforeAnyConfigurationIsNotTaken) {
   Reduce(TimerFired());
-  CallArrived call;
+  CallReceived call;
   call.kind = CallKind::kSubmit;
   const auto answers = Only<AnswerCall>(Reduce(call));
   LONGS_EQUAL(1, answers.size());
