--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -82,7 +82,7 @@
   /// they would end.
   bool move_unsaved_runs = true;
   /// A run's length is learnt once it has done this much, in percent.
-  int learn_percent = 20;
+  int min_learn_percent = 20;
   /// Shortest time between two writes of the numbers of waiting jobs.
   Duration waiting_interval{300};
   /// How often idle accelerators are told of while steps wait: a line a second
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -66,7 +66,7 @@
 
 void Scheduler::LearnLength(Context& ctx, Job* job, const TaskName& name,
                             Run* run) {
-  if (!run->learns || run->percent < options_.learn_percent) return;
+  if (!run->learns || run->percent < options_.min_learn_percent) return;
   run->learns = false;
   Step& step = job->occurrences()[name.occurrence].steps[name.step];
   if (step.learnt) return;
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -52,7 +52,7 @@
       {"move-gain", &scheduler.min_move_gain},
       {"most-moves", &scheduler.max_moves},
       {"moves-unsaved", &scheduler.move_unsaved_runs},
-      {"learn-percent", &scheduler.learn_percent},
+      {"learn-percent", &scheduler.min_learn_percent},
       {"busy-wait", &fleet.busy_wait},
       {"idle-wait", &fleet.idle_wait},
       {"run-lease", &fleet.run_lease},
