--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -40,7 +40,7 @@
   /// A task whose next failure is final waits for a runner on which no run
   /// failed lately; while most are idle, no longer than this. Below the same
   /// 3 s.
-  Duration last_attempt_patience{2500};
+  Duration last_attempt_wait{2500};
   /// Gangs wait this long before room is kept free for them.
   Duration gang_patience{300};
   /// Gangs that room is kept free for at once.
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -42,7 +42,7 @@
 bool Planner::Pass::MustNotFail(const Unit& unit, int failures) {
   if (failures + 1 < unit.policy.max_attempts) return false;
   if (!idle_) return true;
-  const TimePoint end = unit.step->ready_since + options_.last_attempt_patience;
+  const TimePoint end = unit.step->ready_since + options_.last_attempt_wait;
   WakeAt(end);
   return now_ < end;
 }
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -30,7 +30,7 @@
   return {
       {"urgent-patience", &planner.urgent_locality_wait},
       {"patience", &planner.patience},
-      {"last-attempt-patience", &planner.last_attempt_patience},
+      {"last-attempt-patience", &planner.last_attempt_wait},
       {"gang-patience", &planner.gang_patience},
       {"kept-gangs", &planner.max_reserved_gangs},
       {"press-margin", &planner.deadline_margin},
