--- a/src/dispatch/rows.cc
+++ b/src/dispatch/rows.cc
@@ -20,12 +20,12 @@
   // The last digits of an id are as random as any.
   const unsigned last =
       job.empty() ? 0 : static_cast<unsigned char>(job.back());
-  return NameOfPart(last % kJobParts);
+  return NameOfPart(last % kJobPartitions);
 }
 
 std::vector<std::string> AllJobPartitions() {
   std::vector<std::string> parts;
-  for (unsigned i = 0; i < kJobParts; ++i) parts.push_back(NameOfPart(i));
+  for (unsigned i = 0; i < kJobPartitions; ++i) parts.push_back(NameOfPart(i));
   return parts;
 }
 
--- a/src/dispatch/rows.h
+++ b/src/dispatch/rows.h
@@ -83,7 +83,7 @@
 /// Parts of the table of jobs. Callers' writes to it do not wait for each other
 /// nor for the scheduler's when the store is eighty times as slow as usual: a
 /// part then takes 2.5 of them a second, and callers send up to ten.
-inline constexpr int kJobParts = 8;
+inline constexpr int kJobPartitions = 8;
 /// The part that holds a job's rows. Safe from any thread.
 std::string JobPartition(const std::string& job);
 /// All of them. Safe from any thread.
--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -232,8 +232,8 @@
         faults.store_answers_lost = 0.3;
         break;
       case 12:
-        faults.parts_down.insert(
-            dispatch::AllJobPartitions()[Pick(0, dispatch::kJobParts - 1)]);
+        faults.parts_down.insert(dispatch::AllJobPartitions()[Pick(
+            0, dispatch::kJobPartitions - 1)]);
         break;
       case 13:
         faults.nodes_without_store = {LeaderOrAny()};
--- a/test/dispatch-course.h
+++ b/test/dispatch-course.h
@@ -202,8 +202,8 @@
       default:
         Heal();
         if (OneIn(2)) break;
-        faults.parts_down = {
-            dispatch::AllJobPartitions()[Pick(0, dispatch::kJobParts - 1)]};
+        faults.parts_down = {dispatch::AllJobPartitions()[Pick(
+            0, dispatch::kJobPartitions - 1)]};
     }
   }
 
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -62,7 +62,7 @@
   // Progress lies in one part, jobs in several.
   LONGS_EQUAL(1, read_nothing());
   CHECK_FALSE(book.loaded());
-  LONGS_EQUAL(dispatch::kJobParts, read_nothing());
+  LONGS_EQUAL(dispatch::kJobPartitions, read_nothing());
   CHECK_TRUE(book.loaded());
   book.Work(ctx);
   dispatch::ChangesReceived gone;
