--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -85,7 +85,7 @@
   std::vector<RunnerId> unreadable;
 };
 
-struct ListedRun {
+struct ReportedRun {
   TaskName task;
   int run = 0;
   std::string checkpoint;
@@ -135,7 +135,7 @@
   Epoch epoch;
   OrderOutcome outcome = OrderOutcome::kLost;
   std::int64_t clock_ms = 0;
-  std::vector<ListedRun> running;
+  std::vector<ReportedRun> running;
   std::vector<ListedEnd> ended;
 };
 
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -318,14 +318,14 @@
                       bool written_off);
   /// Takes in an end of a run that nobody waited for any more.
   void TakeLateEnd(Context& ctx, const Runner& runner, const ListedEnd& end);
-  void TakeRunning(Context& ctx, Runner* runner, const ListedRun& listed);
+  void TakeRunning(Context& ctx, Runner* runner, const ReportedRun& listed);
   /// What a run that nobody waits for takes, as far as that is known.
   Resources NeedOfUnwanted(const Runner& runner, const TaskName& name);
   /// True if the runner refuses by itself what is too much for it.
   bool GuardsRoom(const Runner& runner) const;
   /// Forgets the stops of unwanted runs that are not there any more.
   static void ForgetUnwanted(Runner* runner,
-                             const std::vector<ListedRun>& running);
+                             const std::vector<ReportedRun>& running);
   /// Measures a run's pace by its progress, and learns from it.
   void MeasurePace(Context& ctx, Runner* runner, Job* job, const TaskName& name,
                    Run* run);
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -240,7 +240,7 @@
   runner->next_poll_at = ctx.now();
   const bool all_taken = TakeEnds(ctx, runner, answer.ended) &&
                          answer.ended.size() < kMostListedEnds;
-  for (const ListedRun& run : answer.running) TakeRunning(ctx, runner, run);
+  for (const ReportedRun& run : answer.running) TakeRunning(ctx, runner, run);
   ForgetUnwanted(runner, answer.running);
   // What is not listed as running may be among the ends that are left.
   if (all_taken) TakeAbsent(ctx, runner, answer);
@@ -335,7 +335,7 @@
 }
 
 void Scheduler::TakeRunning(Context& ctx, Runner* runner,
-                            const ListedRun& listed) {
+                            const ReportedRun& listed) {
   Run* run = runner->FindRun(listed.task, listed.run);
   if (run == nullptr && !book_.Knows(listed.task.job)) return;
   if (run == nullptr) {
@@ -382,16 +382,16 @@
 }
 
 void Scheduler::ForgetUnwanted(Runner* runner,
-                               const std::vector<ListedRun>& running) {
+                               const std::vector<ReportedRun>& running) {
   std::set<RunKey> there;
-  for (const ListedRun& run : running) there.insert({run.task, run.run});
+  for (const ReportedRun& run : running) there.insert({run.task, run.run});
   runner->ForgetUnwantedBut(there);
 }
 
 void Scheduler::TakeAbsent(Context& ctx, Runner* runner,
                            const RunnerPolled& answer) {
   std::set<TaskName> running;
-  for (const ListedRun& run : answer.running) running.insert(run.task);
+  for (const ReportedRun& run : answer.running) running.insert(run.task);
   std::vector<TaskName> lost;
   std::vector<TaskName> lapsed;
   std::vector<TaskName> unsure;
