--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -42,11 +42,11 @@
   const int incarnation = processes_[node].incarnation;
   ++looks_;
   if (Happens(faults_.looks_lost)) {
-    LoseLook(node, incarnation, poll);
+    LosePoll(node, incarnation, poll);
     return;
   }
   if (Happens(faults_.looks_late)) {
-    LoseLook(node, incarnation, poll);
+    LosePoll(node, incarnation, poll);
     At(now_ + LateBy(), [this, poll] { CarryOutLate(poll); });
     return;
   }
@@ -56,7 +56,7 @@
   });
 }
 
-void EmulatedSystem::LoseLook(int node, int incarnation,
+void EmulatedSystem::LosePoll(int node, int incarnation,
                               const dispatch::PollRunner& poll) {
   dispatch::RunnerPolled lost;
   lost.asked = poll.target.incarnation;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -277,7 +277,7 @@
   void AnswerLook(int node, int incarnation, const dispatch::PollRunner& poll,
                   TimePoint until, const dispatch::IncarnationId& waits_at);
   /// The look gets no answer.
-  void LoseLook(int node, int incarnation, const dispatch::PollRunner& poll);
+  void LosePoll(int node, int incarnation, const dispatch::PollRunner& poll);
   /// A look that got no answer comes to whatever runner is there by now.
   void CarryOutLate(const dispatch::PollRunner& poll);
   /// Tells the oracle of a look that a runner answered.
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -77,7 +77,7 @@
   }
 
   /// The look at the runner got no answer; the next one is due after a pause.
-  void LoseLook(Runner * runner) {
+  void LosePoll(Runner * runner) {
     runner->poll_in_flight = false;
     runner->Missed(now);
     const FleetOptions options;
@@ -292,7 +292,7 @@
     for (const Effect& effect : effects) {
       const IncarnationId id = std::get<PollRunner>(effect).target.incarnation;
       looked_at_last = looked_at_last || id == last;
-      LoseLook(fleet.Find(id));
+      LosePoll(fleet.Find(id));
     }
   }
   CHECK_TRUE(looked_at_last);
@@ -408,7 +408,7 @@
   Runner* runner = AddRunner("i-1");
   runner->Heard(now, 500000);
   runner->newest_end = 4;
-  LoseLook(runner);
+  LosePoll(runner);
   now = runner->next_poll_at;
   LONGS_EQUAL(0, Poll()->acknowledged_end);
 }
