--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -42,7 +42,7 @@
   /// 3 s.
   Duration last_attempt_wait{2500};
   /// Gangs wait this long before room is kept free for them.
-  Duration gang_patience{300};
+  Duration gang_reservation_delay{300};
   /// Gangs that room is kept free for at once.
   int max_reserved_gangs = 4;
   /// Other work displaces lower priorities, and uses more of the urgent racks,
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -286,7 +286,8 @@
 
 bool Planner::Pass::KeepForGang(const Unit& unit,
                                 const PlacementRequest& request) {
-  const TimePoint from = unit.step->ready_since + options_.gang_patience;
+  const TimePoint from =
+      unit.step->ready_since + options_.gang_reservation_delay;
   if (now_ < from) {
     WakeAt(from);
     return false;
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -31,7 +31,7 @@
       {"urgent-patience", &planner.urgent_locality_wait},
       {"patience", &planner.patience},
       {"last-attempt-patience", &planner.last_attempt_wait},
-      {"gang-patience", &planner.gang_patience},
+      {"gang-patience", &planner.gang_reservation_delay},
       {"kept-gangs", &planner.max_reserved_gangs},
       {"press-margin", &planner.deadline_margin},
       {"claim-time", &planner.reservation_time},
