--- a/src/dispatch/rows.h
+++ b/src/dispatch/rows.h
@@ -75,7 +75,7 @@
 inline constexpr char kProgressTable[] = "progress";
 inline constexpr char kPeerTable[] = "peer";
 /// Part of the table of peers: its writes do not wait for the scheduler's.
-inline constexpr char kPeerPart[] = "peers";
+inline constexpr char kPeerPartition[] = "peers";
 /// Key of the row that names the scheduler.
 inline constexpr char kLeaderKey[] = "scheduler";
 /// Key of the row with the numbers of waiting jobs.
