--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -90,7 +90,7 @@
   CHECK_FALSE(DecodeRunner(RunnerId("i"), R"({"room":5})").ok());
   CHECK_FALSE(DecodeRows(R"({"rows":[5]})").ok());
   dispatch::RunnerPolled polled;
-  CHECK_FALSE(DecodeLook(R"({"clock-ms":1,"running":[5]})", &polled).ok());
+  CHECK_FALSE(DecodePoll(R"({"clock-ms":1,"running":[5]})", &polled).ok());
 }
 
 TEST(Wire, RunnerTellsItsRoomAndItsRack) {
@@ -109,7 +109,7 @@
 
 TEST(Wire, LookListsRunsAndEnds) {
   dispatch::RunnerPolled polled;
-  const auto status = DecodeLook(
+  const auto status = DecodePoll(
       R"({"clock-ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"ck",41]],)"
       R"("ended":[[58,"5c0e7a21d94b36f8.0.1.9",1,"broken",""]]})",
       &polled);
@@ -125,11 +125,11 @@
 TEST(Wire, LookTellsTheLifeThatAnswers) {
   dispatch::RunnerPolled polled;
   CHECK_TRUE(
-      DecodeLook(R"({"clock-ms":1,"born":1791244478514})", &polled).ok());
+      DecodePoll(R"({"clock-ms":1,"born":1791244478514})", &polled).ok());
   CHECK_TRUE(polled.start_time == dispatch::StartTime(1791244478514));
   for (const char* start_time : {"\"x\"", "1.5", "{}", "true"}) {
     const std::string text = std::string(R"({"born":)") + start_time + "}";
-    CHECK_FALSE_TEXT(DecodeLook(text, &polled).ok(), start_time);
+    CHECK_FALSE_TEXT(DecodePoll(text, &polled).ok(), start_time);
   }
 }
 
