--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -33,7 +33,7 @@
   Duration urgent_locality_wait{900};
   /// The same for other work. Below the 3 s after which a waiting task beside
   /// idle runners counts as forgotten.
-  Duration patience{1500};
+  Duration locality_wait{1500};
   /// Gangs do not wait longer than this for a good place while there is room
   /// for them twice over elsewhere; below the same 3 s.
   Duration beside_free_room{2500};
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -14,7 +14,7 @@
 
 Duration Planner::Pass::PatienceOf(const Unit& unit) const {
   return unit.policy.priority == 0 ? options_.urgent_locality_wait
-                                   : options_.patience;
+                                   : options_.locality_wait;
 }
 
 PlacementRequest Planner::Pass::RequestFor(const Unit& unit) {
--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -29,7 +29,7 @@
   FleetOptions& fleet = options->scheduler.fleet;
   return {
       {"urgent-patience", &planner.urgent_locality_wait},
-      {"patience", &planner.patience},
+      {"patience", &planner.locality_wait},
       {"last-attempt-patience", &planner.last_attempt_wait},
       {"gang-patience", &planner.gang_reservation_delay},
       {"kept-gangs", &planner.max_reserved_gangs},
--- a/test/tuning-test.cc
+++ b/test/tuning-test.cc
@@ -20,7 +20,7 @@
   Tune("urgent-share=0.5", &options, &findings);
   Tune("kept-gangs=2", &options, &findings);
   CHECK_TRUE(findings.empty());
-  LONGS_EQUAL(900, options.scheduler.planner.patience.ms());
+  LONGS_EQUAL(900, options.scheduler.planner.locality_wait.ms());
   DOUBLES_EQUAL(0.5, options.scheduler.planner.urgent_share, 1e-9);
   LONGS_EQUAL(2, options.scheduler.planner.max_reserved_gangs);
 }
