--- a/src/dispatch/catalog_watcher.cc
+++ b/src/dispatch/catalog_watcher.cc
@@ -37,7 +37,7 @@
   // Changes may have been missed unless the wait ended well.
   read_next_ = !answered;
   if (!answered) {
-    const bool at_once = answer.outcome == StoreOutcome::kHistoryGone;
+    const bool at_once = answer.outcome == StoreOutcome::kHistoryCompacted;
     if (!at_once) next_at_ = ctx.now() + options_.retry_pause;
     return;
   }
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -141,7 +141,7 @@
                                    const ChangesReceived& answer) {
   follow_under_way_ = false;
   std::vector<JobId> changed;
-  if (answer.outcome == StoreOutcome::kHistoryGone) {
+  if (answer.outcome == StoreOutcome::kHistoryCompacted) {
     // Progress is this node's own by now; only the jobs are read again.
     BeginReadingJobs(ctx.now());
     return changed;
--- a/src/dispatch/rows.h
+++ b/src/dispatch/rows.h
@@ -66,7 +66,7 @@
   /// conditions still hold then.
   kUnknown,
   /// The changes since the wanted revision are no longer kept.
-  kHistoryGone,
+  kHistoryCompacted,
 };
 
 /// Tables of the dispatcher.
--- a/src/emulator/emulated_store.cc
+++ b/src/emulator/emulated_store.cc
@@ -77,7 +77,7 @@
                                                  Revision after) const {
   dispatch::ChangesReceived answer;
   if (after < history_from_) {
-    answer.outcome = StoreOutcome::kHistoryGone;
+    answer.outcome = StoreOutcome::kHistoryCompacted;
     return answer;
   }
   answer.outcome = StoreOutcome::kDone;
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -66,7 +66,7 @@
   CHECK_TRUE(book.loaded());
   book.Work(ctx);
   dispatch::ChangesReceived gone;
-  gone.outcome = dispatch::StoreOutcome::kHistoryGone;
+  gone.outcome = dispatch::StoreOutcome::kHistoryCompacted;
   book.Handle(ctx, gone);
   CHECK_TRUE(book.loaded());
 }
