--- a/src/dispatch/advice_book.cc
+++ b/src/dispatch/advice_book.cc
@@ -38,7 +38,7 @@
                      const std::vector<IncarnationId>& runners) {
   if (under_way_ || ctx.now() < next_at_) return;
   std::map<IncarnationId, Entry>& known = steps_[step];
-  AskAdvice ask;
+  RequestAdvice ask;
   ask.step = step;
   for (const IncarnationId& runner : runners) {
     if (ask.runners.size() == options_.runners_per_call) break;
--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -115,7 +115,7 @@
 };
 
 /// Asks on which of the runners the step may run.
-struct AskAdvice {
+struct RequestAdvice {
   StepName step;
   std::vector<IncarnationId> runners;
 };
@@ -174,8 +174,8 @@
 
 using Effect =
     std::variant<CommitRows, ReadRows, AwaitChanges, ReadCatalog, AwaitCatalog,
-                 ListRunners, PollRunner, StartRun, StopRun, AskAdvice, AskPeer,
-                 AnswerCall, AnswerState, SetReady, WriteLog, Exit>;
+                 ListRunners, PollRunner, StartRun, StopRun, RequestAdvice,
+                 AskPeer, AnswerCall, AnswerState, SetReady, WriteLog, Exit>;
 using Effects = std::vector<Effect>;
 
 }  // namespace limeledge::dispatch
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -143,7 +143,7 @@
      [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
 }
 
-void EmulatedSystem::Perform(int node, const dispatch::AskAdvice& ask) {
+void EmulatedSystem::Perform(int node, const dispatch::RequestAdvice& ask) {
   dispatch::AdviceReceived answer;
   answer.step = ask.step;
   answer.ok = true;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -249,7 +249,7 @@
   void Perform(int node, const dispatch::PollRunner& poll);
   void Perform(int node, const dispatch::StartRun& start);
   void Perform(int node, const dispatch::StopRun& stop);
-  void Perform(int node, const dispatch::AskAdvice& ask);
+  void Perform(int node, const dispatch::RequestAdvice& ask);
   void Perform(int node, const dispatch::AskPeer& ask);
   void Perform(int node, const dispatch::AnswerCall& answer);
   void Perform(int node, const dispatch::AnswerState&);
