--- a/src/dispatch/planner_pass.h
+++ b/src/dispatch/planner_pass.h
@@ -31,8 +31,8 @@
  public:
   /// All that is given must outlive the pass.
   Pass(Planner* planner, TimePoint now, std::int64_t wall_ms,
-       const Catalog& catalog, const RunTimes& times, const AdviceBook& advice,
-       JobBook* jobs, Fleet* fleet);
+       const Catalog& catalog, const RunTimeEstimator& times,
+       const AdviceBook& advice, JobBook* jobs, Fleet* fleet);
 
   /// Makes the pass. Call it once.
   Plan Decide();
@@ -200,7 +200,7 @@
   TimePoint now_;
   std::int64_t wall_ms_;
   const Catalog& catalog_;
-  const RunTimes& times_;
+  const RunTimeEstimator& times_;
   const AdviceBook& advice_;
   JobBook& jobs_;
   CandidatePool seating_;
--- a/src/dispatch/run_times.cc
+++ b/src/dispatch/run_times.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-void RunTimes::LogMean::Add(double value) {
+void RunTimeEstimator::LogMean::Add(double value) {
   ++count;
   // The first value is its own mean.
   if (count == 1) mean = value;
@@ -42,24 +42,27 @@
   variance += weight * (off * off - variance);
 }
 
-double RunTimes::LogMean::Precision() const {
+double RunTimeEstimator::LogMean::Precision() const {
   return 1 / std::max(variance, kLeastVariance);
 }
 
-void RunTimes::Learn(const QueueId& queue, Duration estimate, Duration actual) {
+void RunTimeEstimator::Learn(const QueueId& queue, Duration estimate,
+                             Duration actual) {
   QueueTimes& times = queues_[queue];
   times.actual.Add(LogOf(actual));
   times.error.Add(LogOf(actual) - LogOf(estimate));
 }
 
-const RunTimes::QueueTimes* RunTimes::Known(const QueueId& queue) const {
+const RunTimeEstimator::QueueTimes* RunTimeEstimator::Known(
+    const QueueId& queue) const {
   const auto found = queues_.find(queue);
   const bool enough =
       found != queues_.end() && found->second.actual.count >= kEnough;
   return enough ? &found->second : nullptr;
 }
 
-Duration RunTimes::Expect(const QueueId& queue, Duration estimate) const {
+Duration RunTimeEstimator::Expect(const QueueId& queue,
+                                  Duration estimate) const {
   const QueueTimes* known = Known(queue);
   if (known == nullptr) return estimate;
   const double by_queue = known->actual.Precision();
@@ -70,7 +73,8 @@
   return Duration(std::llround(std::exp(expected)));
 }
 
-std::optional<double> RunTimes::LikelyFactor(const QueueId& queue) const {
+std::optional<double> RunTimeEstimator::LikelyFactor(
+    const QueueId& queue) const {
   const QueueTimes* known = Known(queue);
   if (known == nullptr) return std::nullopt;
   const double precision = known->actual.Precision() + known->error.Precision();
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_times.h
@@ -19,7 +19,7 @@
 /// of the two in the past counts for more.
 ///
 /// Thread safety: none; use it from one thread.
-class RunTimes {
+class RunTimeEstimator {
  public:
   /// Notes that a run guessed at `estimate` takes `actual` in all, on a sound
   /// runner as far as is known.
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -369,7 +369,7 @@
   JobCleaner cleaner_;
   Fleet fleet_;
   LossTracker losses_;
-  RunTimes times_;
+  RunTimeEstimator times_;
   AdviceBook advice_;
   Planner planner_;
   const Catalog* catalog_ = nullptr;
--- a/test/run-times-test.cc
+++ b/test/run-times-test.cc
@@ -9,17 +9,17 @@
 
 namespace limeledge::dispatch {
 
-TEST_GROUP(RunTimes) {
+TEST_GROUP(RunTimeEstimator) {
   const QueueId queue{"sweep"};
-  RunTimes times;
+  RunTimeEstimator times;
 };
 
-TEST(RunTimes, UnknownQueueIsTakenAtItsGuess) {
+TEST(RunTimeEstimator, UnknownQueueIsTakenAtItsGuess) {
   LONGS_EQUAL(1234, times.Expect(queue, Duration(1234)).ms());
   CHECK_FALSE(times.LikelyFactor(queue).has_value());
 }
 
-TEST(RunTimes, WildGuessesAreCorrectedByTheQueue) {
+TEST(RunTimeEstimator, WildGuessesAreCorrectedByTheQueue) {
   const int guesses[] = {500, 50000, 2000, 30000, 900, 20000, 700, 40000};
   for (const int guess : guesses) {
     times.Learn(queue, Duration(guess), Duration(8000));
@@ -29,7 +29,7 @@
   CHECK_TRUE(expected < Duration(10000));
 }
 
-TEST(RunTimes, GoodGuessesGoBeforeTheQueue) {
+TEST(RunTimeEstimator, GoodGuessesGoBeforeTheQueue) {
   const int lengths[] = {500, 8000, 1000, 20000, 700, 15000, 900, 30000};
   for (int repeat = 0; repeat < 5; ++repeat) {
     for (const int length : lengths) {
@@ -41,7 +41,7 @@
   CHECK_TRUE(expected < Duration(1300));
 }
 
-TEST(RunTimes, FewAlikeRunsAreNotTakenForCertainty) {
+TEST(RunTimeEstimator, FewAlikeRunsAreNotTakenForCertainty) {
   for (int i = 0; i < 4; ++i) {
     times.Learn(queue, Duration(1000), Duration(1000));
   }
