--- a/src/dispatch/leadership.cc
+++ b/src/dispatch/leadership.cc
@@ -56,7 +56,7 @@
   Wait(ctx.now(), options_.poll_interval);
   const bool answered = answer.outcome == StoreOutcome::kDone;
   misses_ = answered ? 0 : misses_ + 1;
-  refused_ = answer.outcome == StoreOutcome::kNotDone;
+  refused_ = answer.outcome == StoreOutcome::kNotApplied;
   if (!answered) {
     // The holder may have renewed meanwhile: watch from the start.
     watch_ = WatchedLease(options_.lease);
--- a/src/dispatch/rows.h
+++ b/src/dispatch/rows.h
@@ -61,7 +61,7 @@
   /// A condition did not hold; nothing was done.
   kConflict,
   /// Surely not done.
-  kNotDone,
+  kNotApplied,
   /// No answer: it may have been done, or may be done later if its
   /// conditions still hold then.
   kUnknown,
--- a/src/dispatch/state_writer.cc
+++ b/src/dispatch/state_writer.cc
@@ -159,7 +159,7 @@
       }
       return Verdict::kDeposed;
     }
-    case StoreOutcome::kNotDone:
+    case StoreOutcome::kNotApplied:
       ++refusals_;
       if (unsettled_) {
         Resend(ctx.now());
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -120,7 +120,7 @@
   const bool refused =
       IsAway(commit.transaction.part) || free_at - now_ > kLongestQueue;
   if (refused) {
-    lost.outcome = StoreOutcome::kNotDone;
+    lost.outcome = StoreOutcome::kNotApplied;
     At(now_ + options_.network * 2,
        [this, node, incarnation = processes_[node].incarnation, lost] {
          Deliver(node, incarnation, lost);
@@ -147,7 +147,7 @@
       node, read.timeout,
       [this, read] {
         dispatch::ReadCompleted answer;
-        answer.outcome = StoreOutcome::kNotDone;
+        answer.outcome = StoreOutcome::kNotApplied;
         if (!IsAway(read.part)) {
           answer = store_.Read(read.table, read.part, read.from, read.to,
                                read.limit);
@@ -167,7 +167,7 @@
                             TimePoint until) {
   const bool away = IsCutOffFromStore(node);
   dispatch::ChangesReceived answer;
-  answer.outcome = StoreOutcome::kNotDone;
+  answer.outcome = StoreOutcome::kNotApplied;
   if (!away) answer = store_.Changes(effect.table, effect.after);
   answer.ticket = effect.ticket;
   const bool waits =
@@ -196,7 +196,7 @@
   At(now_ + after, [this, node, incarnation, whole] {
     const bool away = IsCutOffFromStore(node);
     dispatch::CatalogReceived answer;
-    answer.outcome = away ? StoreOutcome::kNotDone : StoreOutcome::kDone;
+    answer.outcome = away ? StoreOutcome::kNotApplied : StoreOutcome::kDone;
     if (!away && whole) answer.catalog = catalog_;
     answer.names_all_halls = !away;
     for (const auto& [hall, since] : emptied_halls_) answer.halls[hall] = true;
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -58,7 +58,7 @@
 
   void Refuse(const Effect& read) {
     ReadCompleted answer;
-    answer.outcome = StoreOutcome::kNotDone;
+    answer.outcome = StoreOutcome::kNotApplied;
     answer.ticket = std::get<ReadRows>(read).ticket;
     Context ctx(now, 0, &tickets, &effects);
     book.Handle(ctx, answer);
--- a/test/leadership-test.cc
+++ b/test/leadership-test.cc
@@ -79,7 +79,7 @@
 
 TEST(Leadership, UnreadableStoreBeginsTheWatchAnew) {
   for (int i = 0; i < 4; ++i) POINTERS_EQUAL(nullptr, Read(Held(250), 5));
-  POINTERS_EQUAL(nullptr, Read(Held(250), 5, StoreOutcome::kNotDone));
+  POINTERS_EQUAL(nullptr, Read(Held(250), 5, StoreOutcome::kNotApplied));
   for (int i = 0; i < 5; ++i) POINTERS_EQUAL(nullptr, Read(Held(250), 5));
   CHECK_TRUE(Read(Held(250), 5) != nullptr);
 }
--- a/test/state-writer-test.cc
+++ b/test/state-writer-test.cc
@@ -157,14 +157,14 @@
   writer.After(key, [&ran](Context&) { ran = true; });
   Answer(*Flush(), StoreOutcome::kUnknown);
   now = now + StateWriterOptions().retry_pause;
-  Answer(*Flush(), StoreOutcome::kNotDone);
+  Answer(*Flush(), StoreOutcome::kNotApplied);
   CHECK_FALSE(ran);
   CHECK_TRUE(writer.IsPending(key));
 }
 
 TEST(StateWriter, RefusedWriteIsSentAgainWithWhatChangedSince) {
   Mark("a");
-  Answer(*Flush(), StoreOutcome::kNotDone);
+  Answer(*Flush(), StoreOutcome::kNotApplied);
   Mark("b");
   now = now + StateWriterOptions().retry_pause;
   const CommitRows* again = Flush();
