--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -121,7 +121,7 @@
 };
 
 /// Asks a peer whether the store answers it.
-struct AskPeer {
+struct QueryPeer {
   std::string address;
   Duration timeout;
 };
@@ -175,7 +175,7 @@
 using Effect =
     std::variant<CommitRows, ReadRows, AwaitChanges, ReadCatalog, AwaitCatalog,
                  ListRunners, PollRunner, StartRun, StopRun, RequestAdvice,
-                 AskPeer, AnswerCall, AnswerState, SetReady, WriteLog, Exit>;
+                 QueryPeer, AnswerCall, AnswerState, SetReady, WriteLog, Exit>;
 using Effects = std::vector<Effect>;
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -139,7 +139,7 @@
     const std::string& peer = peers_[next_peer_];
     next_peer_ = (next_peer_ + 1) % peers_.size();
     asked_.insert(peer);
-    ctx.Emit(AskPeer{peer, options_.ask_timeout});
+    ctx.Emit(QueryPeer{peer, options_.ask_timeout});
   }
   round_.asked = static_cast<int>(count);
 }
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -46,7 +46,7 @@
   KillNode(node, Duration(200));
 }
 
-void EmulatedSystem::Perform(int node, const dispatch::AskPeer& ask) {
+void EmulatedSystem::Perform(int node, const dispatch::QueryPeer& ask) {
   const int incarnation = processes_[node].incarnation;
   dispatch::PeerReplied answer;
   answer.address = ask.address;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -250,7 +250,7 @@
   void Perform(int node, const dispatch::StartRun& start);
   void Perform(int node, const dispatch::StopRun& stop);
   void Perform(int node, const dispatch::RequestAdvice& ask);
-  void Perform(int node, const dispatch::AskPeer& ask);
+  void Perform(int node, const dispatch::QueryPeer& ask);
   void Perform(int node, const dispatch::AnswerCall& answer);
   void Perform(int node, const dispatch::AnswerState&);
   void Perform(int node, const dispatch::SetReady& effect);
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -78,7 +78,7 @@
   std::vector<std::string> Asked() {
     std::vector<std::string> asked;
     for (const Effect& effect : effects) {
-      const auto* ask = std::get_if<AskPeer>(&effect);
+      const auto* ask = std::get_if<QueryPeer>(&effect);
       if (ask != nullptr) asked.push_back(ask->address);
     }
     return asked;
