--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -391,7 +391,7 @@
   }
 }
 
-void SoakPlatform::OnLook(const emulator::EmulatedRunner& runner,
+void SoakPlatform::OnPoll(const emulator::EmulatedRunner& runner,
                           const dispatch::PollRunner& poll,
                           const dispatch::RunnerPolled& answer) {
   oracle_.NotePoll(poll, answer, [&](std::int64_t end) {
--- a/soak/soak_platform.h
+++ b/soak/soak_platform.h
@@ -110,7 +110,7 @@
 
   void OnStart(const emulator::EmulatedRunner& runner,
                const dispatch::StartRun& order) override;
-  void OnLook(const emulator::EmulatedRunner& runner,
+  void OnPoll(const emulator::EmulatedRunner& runner,
               const dispatch::PollRunner& poll,
               const dispatch::RunnerPolled& answer) override;
   void OnUnread(const std::vector<dispatch::ReportedEnd>& ends) override {
