--- a/src/dispatch/run_times.cc
+++ b/src/dispatch/run_times.cc
@@ -46,8 +46,8 @@
   return 1 / std::max(variance, kLeastVariance);
 }
 
-void RunTimeEstimator::Learn(const QueueId& queue, Duration estimate,
-                             Duration actual) {
+void RunTimeEstimator::AddSample(const QueueId& queue, Duration estimate,
+                                 Duration actual) {
   QueueTimes& times = queues_[queue];
   times.actual.Add(LogOf(actual));
   times.error.Add(LogOf(actual) - LogOf(estimate));
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_times.h
@@ -23,7 +23,7 @@
  public:
   /// Notes that a run guessed at `estimate` takes `actual` in all, on a sound
   /// runner as far as is known.
-  void Learn(const QueueId& queue, Duration estimate, Duration actual);
+  void AddSample(const QueueId& queue, Duration estimate, Duration actual);
   /// The expected time of a run guessed at `estimate`.
   Duration Expect(const QueueId& queue, Duration estimate) const;
   /// By which factor a sound run may well take longer than expected; nothing
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -73,7 +73,8 @@
   step.learnt = true;
   const Duration whole =
       (ctx.now() - run->started_at) * kAllDone / run->percent;
-  times_.Learn(job->spec().queue, job->step_spec(name.step).estimate, whole);
+  times_.AddSample(job->spec().queue, job->step_spec(name.step).estimate,
+                   whole);
 }
 
 void Scheduler::MoveFromSlow(Context& ctx, Runner* runner, const TaskName& name,
--- a/test/run-times-test.cc
+++ b/test/run-times-test.cc
@@ -22,7 +22,7 @@
 TEST(RunTimeEstimator, WildGuessesAreCorrectedByTheQueue) {
   const int guesses[] = {500, 50000, 2000, 30000, 900, 20000, 700, 40000};
   for (const int guess : guesses) {
-    times.Learn(queue, Duration(guess), Duration(8000));
+    times.AddSample(queue, Duration(guess), Duration(8000));
   }
   const Duration expected = times.Expect(queue, Duration(1000));
   CHECK_TRUE(expected > Duration(6000));
@@ -33,7 +33,7 @@
   const int lengths[] = {500, 8000, 1000, 20000, 700, 15000, 900, 30000};
   for (int repeat = 0; repeat < 5; ++repeat) {
     for (const int length : lengths) {
-      times.Learn(queue, Duration(length), Duration(length));
+      times.AddSample(queue, Duration(length), Duration(length));
     }
   }
   const Duration expected = times.Expect(queue, Duration(1000));
@@ -43,7 +43,7 @@
 
 TEST(RunTimeEstimator, FewAlikeRunsAreNotTakenForCertainty) {
   for (int i = 0; i < 4; ++i) {
-    times.Learn(queue, Duration(1000), Duration(1000));
+    times.AddSample(queue, Duration(1000), Duration(1000));
   }
   CHECK_TRUE(*times.LikelyFactor(queue) > 1.3);
 }
