--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -285,7 +285,7 @@
 }
 
 void Scheduler::NoteProcessPause(Context& ctx, Duration time) {
-  writer_.ConfirmFirst(ctx.now());
+  writer_.RequireConfirmation(ctx.now());
   fleet_.NoteProcessPause();
   advice_.NoteProcessPause(time);
   ctx.Log(LogId::kStoodStill, {{"ms", std::to_string(time.ms())},
--- a/src/dispatch/state_writer.h
+++ b/src/dispatch/state_writer.h
@@ -74,7 +74,7 @@
 
   /// The process stood still until `now`, and another may schedule since: the
   /// next write changes nothing but the lease.
-  void ConfirmFirst(TimePoint now) { confirm_after_ = now; }
+  void RequireConfirmation(TimePoint now) { confirm_after_ = now; }
   /// False until a write that was sent after that moment has been stored.
   bool MayAct() const { return confirmed_at_ >= confirm_after_; }
 
