--- a/src/dispatch/desk.cc
+++ b/src/dispatch/desk.cc
@@ -87,7 +87,8 @@
                                  {"result", ToString(result)},
                                  {"state", state},
                                  {"reason", message}});
-  AnswerCall answer{call.call, result, state, waiting, message, std::nullopt};
+  RespondToCall answer{call.call, result,  state,
+                       waiting,   message, std::nullopt};
   if (later) answer.retry_after = TimeToComeBack();
   ctx.Emit(std::move(answer));
 }
--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -143,7 +143,7 @@
   kUnknown,
 };
 
-struct AnswerCall {
+struct RespondToCall {
   CallId call;
   CallResult result = CallResult::kDone;
   /// With a query: the job's state.
@@ -172,10 +172,10 @@
 /// All is handed over; the process may end.
 struct Exit {};
 
-using Effect =
-    std::variant<CommitRows, ReadRows, AwaitChanges, ReadCatalog, AwaitCatalog,
-                 ListRunners, PollRunner, StartRun, StopRun, RequestAdvice,
-                 QueryPeer, AnswerCall, AnswerState, SetReady, WriteLog, Exit>;
+using Effect = std::variant<CommitRows, ReadRows, AwaitChanges, ReadCatalog,
+                            AwaitCatalog, ListRunners, PollRunner, StartRun,
+                            StopRun, RequestAdvice, QueryPeer, RespondToCall,
+                            AnswerState, SetReady, WriteLog, Exit>;
 using Effects = std::vector<Effect>;
 
 }  // namespace limeledge::dispatch
--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -24,7 +24,7 @@
 
 CallId EmulatedSystem::SendCall(
     dispatch::CallReceived call,
-    std::function<void(const dispatch::AnswerCall*)> done) {
+    std::function<void(const dispatch::RespondToCall*)> done) {
   last_call_ = last_call_.Next();
   const CallId id = last_call_;
   call.call = id;
@@ -53,7 +53,7 @@
   return id;
 }
 
-void EmulatedSystem::TakeAnswer(const dispatch::AnswerCall& answer) {
+void EmulatedSystem::TakeAnswer(const dispatch::RespondToCall& answer) {
   const auto open = calls_.find(answer.call);
   if (open == calls_.end()) return;
   const auto done = std::move(open->second);
@@ -76,7 +76,7 @@
   call.path = absl::StrCat(PrefixOf(oracle_.Find(job)->spec.policy.priority),
                            job.value());
   call.spec = watch.spec;
-  SendCall(call, [this, job](const dispatch::AnswerCall* answer) {
+  SendCall(call, [this, job](const dispatch::RespondToCall* answer) {
     JobWatch& submitted = *oracle_.Find(job);
     if (answer != nullptr && answer->result == CallResult::kDone) {
       submitted.accepted = true;
@@ -100,7 +100,7 @@
   call.kind = dispatch::CallKind::kCancel;
   call.path = absl::StrCat(PrefixOf(oracle_.Find(job)->spec.policy.priority),
                            job.value());
-  SendCall(call, [this, job](const dispatch::AnswerCall* answer) {
+  SendCall(call, [this, job](const dispatch::RespondToCall* answer) {
     const bool acknowledged =
         answer != nullptr && (answer->result == CallResult::kDone ||
                               answer->result == CallResult::kGone);
@@ -120,7 +120,7 @@
   call.path = PrefixOf(kOrdinaryPriority);
   std::int64_t waiting = -1;
   bool answered = false;
-  SendCall(call, [&](const dispatch::AnswerCall* answer) {
+  SendCall(call, [&](const dispatch::RespondToCall* answer) {
     answered = true;
     if (answer != nullptr) waiting = answer->waiting;
   });
@@ -135,7 +135,7 @@
                            job.value());
   std::string state;
   bool answered = false;
-  SendCall(call, [&](const dispatch::AnswerCall* answer) {
+  SendCall(call, [&](const dispatch::RespondToCall* answer) {
     answered = true;
     if (answer == nullptr) return;
     state = answer->result == CallResult::kGone ? "gone" : answer->state;
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -64,7 +64,7 @@
      [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
 }
 
-void EmulatedSystem::Perform(int, const dispatch::AnswerCall& answer) {
+void EmulatedSystem::Perform(int, const dispatch::RespondToCall& answer) {
   At(now_ + options_.network, [this, answer] { TakeAnswer(answer); });
 }
 
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -251,7 +251,7 @@
   void Perform(int node, const dispatch::StopRun& stop);
   void Perform(int node, const dispatch::RequestAdvice& ask);
   void Perform(int node, const dispatch::QueryPeer& ask);
-  void Perform(int node, const dispatch::AnswerCall& answer);
+  void Perform(int node, const dispatch::RespondToCall& answer);
   void Perform(int node, const dispatch::AnswerState&);
   void Perform(int node, const dispatch::SetReady& effect);
   void Perform(int node, const dispatch::WriteLog& log);
@@ -299,11 +299,11 @@
   /// Sends the next order of a lane, if there is one.
   void FinishOrder(int node, int incarnation,
                    const dispatch::IncarnationId& runner);
-  void TakeAnswer(const dispatch::AnswerCall& answer);
+  void TakeAnswer(const dispatch::RespondToCall& answer);
   void SendSubmit(const JobId& job);
   void SendCancel(const JobId& job);
   CallId SendCall(dispatch::CallReceived call,
-                  std::function<void(const dispatch::AnswerCall*)> done);
+                  std::function<void(const dispatch::RespondToCall*)> done);
 
   /// What a life of a runner says of itself when it begins.
   dispatch::RunnerInfo DescribeRunner(int index, int incarnation) const;
@@ -364,7 +364,7 @@
   std::map<std::string, RunnerId> runner_at_;
   PromiseOracle oracle_;
   CallId last_call_;
-  std::map<CallId, std::function<void(const dispatch::AnswerCall*)>> calls_;
+  std::map<CallId, std::function<void(const dispatch::RespondToCall*)>> calls_;
   std::function<void(const std::string&)> trace_;
   std::int64_t last_job_ = 0;
 };
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -70,7 +70,7 @@
   Begin(CallKind::kSubmit);
   LoseCommit(false);
   CHECK_TRUE(Newest<CommitRows>() != nullptr);
-  CHECK_TRUE(Newest<AnswerCall>() == nullptr);
+  CHECK_TRUE(Newest<RespondToCall>() == nullptr);
 }
 
 TEST(Desk, SubmitThatIsLostTwiceGoesOnWhileOthersAreAnswered) {
@@ -87,27 +87,27 @@
   LoseCommit(false);
   POINTERS_EQUAL(nullptr, Newest<CommitRows>());
   // It may have been taken: no refusal would be true.
-  CHECK_TRUE(Newest<AnswerCall>()->result == CallResult::kUnknown);
-  CHECK_TRUE(Newest<AnswerCall>()->retry_after.value().ms() > 0);
+  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kUnknown);
+  CHECK_TRUE(Newest<RespondToCall>()->retry_after.value().ms() > 0);
   CHECK_TRUE(desk.idle());
 }
 
 TEST(Desk, CallerThatAnotherNodeWouldServeIsToldToComeBackAtOnce) {
   desk.NoteStoreLoss(StoreLoss::kHereOnly);
   Begin(CallKind::kSubmit, false);
-  CHECK_TRUE(Newest<AnswerCall>()->result == CallResult::kNotTaken);
-  LONGS_EQUAL(0, Newest<AnswerCall>()->retry_after.value().ms());
+  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotTaken);
+  LONGS_EQUAL(0, Newest<RespondToCall>()->retry_after.value().ms());
   desk.NoteStoreLoss(StoreLoss::kEverywhere);
   Begin(CallKind::kSubmit, false);
   LONGS_EQUAL(DeskOptions().retry_after.ms(),
-              Newest<AnswerCall>()->retry_after.value().ms());
+              Newest<RespondToCall>()->retry_after.value().ms());
 }
 
 TEST(Desk, QuestionThatIsLostTwiceWhileTheStoreIsAwayIsAnsweredAtOnce) {
   Begin(CallKind::kQuery);
   LoseRead(false);
   LoseRead(false);
-  CHECK_TRUE(Newest<AnswerCall>()->result == CallResult::kNotTaken);
+  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotTaken);
   CHECK_TRUE(desk.idle());
 }
 
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -102,7 +102,7 @@
   Reduce(TimerFired());
   CallReceived call;
   call.kind = CallKind::kSubmit;
-  const auto answers = Only<AnswerCall>(Reduce(call));
+  const auto answers = Only<RespondToCall>(Reduce(call));
   LONGS_EQUAL(1, answers.size());
   CHECK_TRUE(answers.front().result == CallResult::kNotTaken);
   CHECK_TRUE(answers.front().retry_after.value().ms() > 0);
