--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -51,7 +51,7 @@
     return;
   }
   At(now_ + options_.network, [this, node, incarnation, poll] {
-    AnswerLook(node, incarnation, poll, now_ + poll.wait,
+    AnswerPoll(node, incarnation, poll, now_ + poll.wait,
                dispatch::IncarnationId());
   });
 }
@@ -94,7 +94,7 @@
   });
 }
 
-void EmulatedSystem::AnswerLook(int node, int incarnation,
+void EmulatedSystem::AnswerPoll(int node, int incarnation,
                                 const dispatch::PollRunner& poll,
                                 TimePoint until,
                                 const dispatch::IncarnationId& waits_at) {
@@ -134,7 +134,7 @@
     dispatch::PollRunner rest = poll;
     rest.until_ms = 0;
     At(now_ + kLookStep, [this, node, incarnation, rest, until, there] {
-      AnswerLook(node, incarnation, rest, until, there);
+      AnswerPoll(node, incarnation, rest, until, there);
     });
     return;
   }
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -274,7 +274,7 @@
               TimePoint until);
   /// The whole catalog, or the news that nothing changed.
   void AnswerCatalog(int node, Duration after, bool whole);
-  void AnswerLook(int node, int incarnation, const dispatch::PollRunner& poll,
+  void AnswerPoll(int node, int incarnation, const dispatch::PollRunner& poll,
                   TimePoint until, const dispatch::IncarnationId& waits_at);
   /// The look gets no answer.
   void LosePoll(int node, int incarnation, const dispatch::PollRunner& poll);
