--- a/src/dispatch/run_times.cc
+++ b/src/dispatch/run_times.cc
@@ -73,7 +73,7 @@
   return Duration(std::llround(std::exp(expected)));
 }
 
-std::optional<double> RunTimeEstimator::LikelyFactor(
+std::optional<double> RunTimeEstimator::UpperBoundFactor(
     const QueueId& queue) const {
   const QueueTimes* known = Known(queue);
   if (known == nullptr) return std::nullopt;
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_times.h
@@ -28,7 +28,7 @@
   Duration Expect(const QueueId& queue, Duration estimate) const;
   /// By which factor a sound run may well take longer than expected; nothing
   /// while too little was seen of the queue.
-  std::optional<double> LikelyFactor(const QueueId& queue) const;
+  std::optional<double> UpperBoundFactor(const QueueId& queue) const;
 
  private:
   /// Mean and variance of a logarithm, newer values counting for more.
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -46,7 +46,8 @@
   }
   Duration& shortest = step.seen_lengths[runner->incarnation()];
   shortest = shortest == Duration(0) ? seen : std::min(shortest, seen);
-  const std::optional<double> factor = times_.LikelyFactor(job->spec().queue);
+  const std::optional<double> factor =
+      times_.UpperBoundFactor(job->spec().queue);
   if (!factor.has_value()) return;
   const Duration expected = std::max({run.expected, elsewhere, Duration(1)});
   const double ratio = length / static_cast<double>(expected.ms());
--- a/test/run-times-test.cc
+++ b/test/run-times-test.cc
@@ -16,7 +16,7 @@
 
 TEST(RunTimeEstimator, UnknownQueueIsTakenAtItsGuess) {
   LONGS_EQUAL(1234, times.Expect(queue, Duration(1234)).ms());
-  CHECK_FALSE(times.LikelyFactor(queue).has_value());
+  CHECK_FALSE(times.UpperBoundFactor(queue).has_value());
 }
 
 TEST(RunTimeEstimator, WildGuessesAreCorrectedByTheQueue) {
@@ -45,7 +45,7 @@
   for (int i = 0; i < 4; ++i) {
     times.AddSample(queue, Duration(1000), Duration(1000));
   }
-  CHECK_TRUE(*times.LikelyFactor(queue) > 1.3);
+  CHECK_TRUE(*times.UpperBoundFactor(queue) > 1.3);
 }
 
 }  // namespace limeledge::dispatch
