--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -135,7 +135,7 @@
     state_ = state;
     has_begun_ = has_begun;
   }
-  void AskCancel() { cancel_asked_ = true; }
+  void RequestCancel() { cancel_asked_ = true; }
 
   /// True if all tasks of the steps before `step` are done.
   bool StepIsReady(const Occurrence& occurrence, int step) const;
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -206,7 +206,7 @@
 void JobBook::StoreCancel(const JobId& id, std::vector<JobId>* changed) {
   Job* job = Find(id);
   if (job == nullptr || job->cancel_asked()) return;
-  job->AskCancel();
+  job->RequestCancel();
   changed->push_back(id);
 }
 
