--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -156,7 +156,7 @@
 };
 
 /// The state that was asked for, as JSON.
-struct AnswerState {
+struct RespondWithState {
   CallId call;
   std::string text;
 };
@@ -175,7 +175,7 @@
 using Effect = std::variant<CommitRows, ReadRows, AwaitChanges, ReadCatalog,
                             AwaitCatalog, ListRunners, PollRunner, StartRun,
                             StopRun, RequestAdvice, QueryPeer, RespondToCall,
-                            AnswerState, SetReady, WriteLog, Exit>;
+                            RespondWithState, SetReady, WriteLog, Exit>;
 using Effects = std::vector<Effect>;
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -219,7 +219,7 @@
         Json::Int64((ctx.now() - catalog_.confirmed_at()).ms());
   }
   if (scheduler_ != nullptr) json["scheduler"] = scheduler_->Dump(ctx.now());
-  ctx.Emit(AnswerState{event.call, WriteJson(json)});
+  ctx.Emit(RespondWithState{event.call, WriteJson(json)});
 }
 
 void Node::Lead(Context& ctx, const Leadership::Claimed& claimed) {
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -68,7 +68,7 @@
   At(now_ + options_.network, [this, answer] { TakeAnswer(answer); });
 }
 
-void EmulatedSystem::Perform(int, const dispatch::AnswerState&) {
+void EmulatedSystem::Perform(int, const dispatch::RespondWithState&) {
   // Emulated callers ask for no dump.
 }
 
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -252,7 +252,7 @@
   void Perform(int node, const dispatch::RequestAdvice& ask);
   void Perform(int node, const dispatch::QueryPeer& ask);
   void Perform(int node, const dispatch::RespondToCall& answer);
-  void Perform(int node, const dispatch::AnswerState&);
+  void Perform(int node, const dispatch::RespondWithState&);
   void Perform(int node, const dispatch::SetReady& effect);
   void Perform(int node, const dispatch::WriteLog& log);
   void Perform(int node, const dispatch::Exit&);
