--- a/src/dispatch/advice_book.cc
+++ b/src/dispatch/advice_book.cc
@@ -10,9 +10,9 @@
 
 namespace limeledge::dispatch {
 
-std::string AdviceBook::TicketFor(const StepName& step,
-                                  const IncarnationId& runner,
-                                  TimePoint now) const {
+std::string TicketCache::TicketFor(const StepName& step,
+                                   const IncarnationId& runner,
+                                   TimePoint now) const {
   const auto found = steps_.find(step);
   if (found == steps_.end()) return "";
   const auto entry = found->second.find(runner);
@@ -21,8 +21,8 @@
   return holds ? entry->second.ticket : "";
 }
 
-std::set<IncarnationId> AdviceBook::Allowed(const StepName& step,
-                                            TimePoint now) const {
+std::set<IncarnationId> TicketCache::Allowed(const StepName& step,
+                                             TimePoint now) const {
   std::set<IncarnationId> allowed;
   const auto found = steps_.find(step);
   if (found == steps_.end()) return allowed;
@@ -34,8 +34,8 @@
   return allowed;
 }
 
-void AdviceBook::Ask(Context& ctx, const StepName& step,
-                     const std::vector<IncarnationId>& runners) {
+void TicketCache::Ask(Context& ctx, const StepName& step,
+                      const std::vector<IncarnationId>& runners) {
   if (under_way_ || ctx.now() < next_at_) return;
   std::map<IncarnationId, Entry>& known = steps_[step];
   RequestAdvice ask;
@@ -54,7 +54,7 @@
   ctx.Emit(std::move(ask));
 }
 
-void AdviceBook::Handle(Context& ctx, const AdviceReceived& answer) {
+void TicketCache::Handle(Context& ctx, const AdviceReceived& answer) {
   under_way_ = false;
   const Duration stood_still = std::exchange(stood_still_, Duration());
   if (!answer.ok) {
@@ -73,7 +73,7 @@
            {"good", std::to_string(answer.tickets.size())}});
 }
 
-void AdviceBook::Forget(const JobId& job) {
+void TicketCache::Forget(const JobId& job) {
   auto it = steps_.lower_bound({job, 0, 0});
   while (it != steps_.end() && it->first.job == job) it = steps_.erase(it);
 }
--- a/src/dispatch/advice_book.h
+++ b/src/dispatch/advice_book.h
@@ -31,9 +31,9 @@
 /// may run a step never changes; tickets run out.
 ///
 /// Thread safety: none; use it from one thread.
-class AdviceBook {
+class TicketCache {
  public:
-  explicit AdviceBook(AdviceOptions options = {}) : options_(options) {}
+  explicit TicketCache(AdviceOptions options = {}) : options_(options) {}
 
   /// The ticket with which the step may start at the runner now; empty for
   /// none.
--- a/src/dispatch/planner_pass.h
+++ b/src/dispatch/planner_pass.h
@@ -32,7 +32,7 @@
   /// All that is given must outlive the pass.
   Pass(Planner* planner, TimePoint now, std::int64_t wall_ms,
        const Catalog& catalog, const RunTimeEstimator& times,
-       const AdviceBook& advice, JobBook* jobs, Fleet* fleet);
+       const TicketCache& advice, JobBook* jobs, Fleet* fleet);
 
   /// Makes the pass. Call it once.
   Plan Decide();
@@ -201,7 +201,7 @@
   std::int64_t wall_ms_;
   const Catalog& catalog_;
   const RunTimeEstimator& times_;
-  const AdviceBook& advice_;
+  const TicketCache& advice_;
   JobBook& jobs_;
   CandidatePool seating_;
   std::set<JobId> entitled_;
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -370,7 +370,7 @@
   Fleet fleet_;
   LossTracker losses_;
   RunTimeEstimator times_;
-  AdviceBook advice_;
+  TicketCache advice_;
   Planner planner_;
   const Catalog* catalog_ = nullptr;
   /// Runners for which something changed that may have an order sent, or a
