--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -203,7 +203,7 @@
   if (step.gang_failures >= max_attempts) failed.phase = TaskPhase::kFailed;
 }
 
-bool Job::NoteDoneAfterAll(const TaskName& name) {
+bool Job::CompleteLate(const TaskName& name) {
   Task* task = Find(name);
   const bool open = task != nullptr && (task->phase == TaskPhase::kWaiting ||
                                         task->phase == TaskPhase::kAssigned);
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -159,7 +159,7 @@
   /// Notes that a run which counted as over was done all the same: the task is
   /// done, whatever run it has now. Returns false, and changes nothing, if the
   /// task has come to its end before, or never does.
-  bool NoteDoneAfterAll(const TaskName& name);
+  bool CompleteLate(const TaskName& name);
 
   /// Notes progress that a run has saved; for a gang, that of all members.
   void SaveProgress(const TaskName& name, const std::string& checkpoint);
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -322,7 +322,7 @@
   const Task* task = job->Find(end.task);
   if (task == nullptr || end.run > task->run) return;
   Runner* present = fleet_.Find(task->incarnation);
-  if (!job->NoteDoneAfterAll(end.task)) return;
+  if (!job->CompleteLate(end.task)) return;
   ctx.Log(LogId::kRunDoneLate,
           {{"task", ToString(end.task)},
            {"run", std::to_string(end.run)},
