--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -106,7 +106,7 @@
   /// The runner obeys a newer scheduler.
   kFenced,
   /// That run, or a newer one, was stopped or ended there.
-  kOldRun,
+  kStaleRun,
   /// Its lease was over when it came.
   kTooLate,
   kNoRoom,
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -27,7 +27,7 @@
       return "done";
     case OrderOutcome::kFenced:
       return "fenced";
-    case OrderOutcome::kOldRun:
+    case OrderOutcome::kStaleRun:
       return "old run";
     case OrderOutcome::kTooLate:
       return "too late";
@@ -127,7 +127,7 @@
     return LeaseStatus::kHeld;
   }
   const bool answered = answer.outcome == OrderOutcome::kDone ||
-                        answer.outcome == OrderOutcome::kOldRun;
+                        answer.outcome == OrderOutcome::kStaleRun;
   const auto unwanted = runner->unwanted().find({answer.task, answer.run});
   if (unwanted != runner->unwanted().end()) {
     unwanted->second.stop.Answered(answered);
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -228,11 +228,11 @@
   const auto active = runs_.find(order.task);
   if (active != runs_.end()) {
     const bool same = active->second.number == order.run;
-    return same ? OrderOutcome::kDone : OrderOutcome::kOldRun;
+    return same ? OrderOutcome::kDone : OrderOutcome::kStaleRun;
   }
   const auto barred = barred_.find(order.task);
   if (barred != barred_.end() && order.run <= barred->second) {
-    return OrderOutcome::kOldRun;
+    return OrderOutcome::kStaleRun;
   }
   if (too_late) return OrderOutcome::kTooLate;
   const TaskTruth truth = truth_(order.task);
