--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -354,7 +354,7 @@
   void Avoid(Context& ctx, Runner* runner, Duration pause, const char* reason);
   void MissAnswer(Context& ctx, Runner* runner);
   /// The same for a look, which may be carried out late.
-  void MissLook(Context& ctx, Runner* runner, OrderOutcome outcome);
+  void MissPoll(Context& ctx, Runner* runner, OrderOutcome outcome);
   /// Checks runs and removes what is over, every `kCheckInterval`.
   void CheckWhenDue(Context& ctx);
   void CheckRuns(Context& ctx);
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -78,7 +78,7 @@
                                      {"reason", reason}});
 }
 
-void Scheduler::MissLook(Context& ctx, Runner* runner, OrderOutcome outcome) {
+void Scheduler::MissPoll(Context& ctx, Runner* runner, OrderOutcome outcome) {
   if (outcome == OrderOutcome::kLost && runner->poll_grants_lease) {
     runner->late_orders.NoteGrant(ctx.now() + options_.late_order);
   }
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -223,7 +223,7 @@
     return LeaseStatus::kHeld;
   }
   if (answer.outcome != OrderOutcome::kDone) {
-    MissLook(ctx, runner, answer.outcome);
+    MissPoll(ctx, runner, answer.outcome);
     return LeaseStatus::kHeld;
   }
   // What left after a life was heard is answered by that one or a later one.
