--- a/src/dispatch/advice_book.cc
+++ b/src/dispatch/advice_book.cc
@@ -34,8 +34,8 @@
   return allowed;
 }
 
-void TicketCache::Ask(Context& ctx, const StepName& step,
-                      const std::vector<IncarnationId>& runners) {
+void TicketCache::RequestTickets(Context& ctx, const StepName& step,
+                                 const std::vector<IncarnationId>& runners) {
   if (under_way_ || ctx.now() < next_at_) return;
   std::map<IncarnationId, Entry>& known = steps_[step];
   RequestAdvice ask;
--- a/src/dispatch/advice_book.h
+++ b/src/dispatch/advice_book.h
@@ -44,8 +44,8 @@
 
   /// Asks about some of `runners` for `step`, if no call is under way and
   /// something is to be learnt. Runners in front go first.
-  void Ask(Context& ctx, const StepName& step,
-           const std::vector<IncarnationId>& runners);
+  void RequestTickets(Context& ctx, const StepName& step,
+                      const std::vector<IncarnationId>& runners);
   void Handle(Context& ctx, const AdviceReceived& answer);
   /// Forgets the job's steps.
   void Forget(const JobId& job);
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -191,7 +191,7 @@
                                 {"reason", ToString(wait.reason)}});
   }
   for (const AdviceRequest& wish : plan.advice_requests) {
-    advice_.Ask(ctx, wish.step, wish.runners);
+    advice_.RequestTickets(ctx, wish.step, wish.runners);
   }
   for (const Preemption& displaced : plan.preemptions) {
     Displace(ctx, displaced);
