--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -260,7 +260,7 @@
   return changed;
 }
 
-bool Job::GiveUp(const TaskName& name) {
+bool Job::FailWaitingTask(const TaskName& name) {
   Task* task = Find(name);
   if (task == nullptr || task->phase != TaskPhase::kWaiting) return false;
   task->phase = TaskPhase::kFailed;
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -176,7 +176,7 @@
                      LifeFate fate);
   /// Gives up a task that waits. Returns false, and changes nothing, if it does
   /// not wait.
-  bool GiveUp(const TaskName& name);
+  bool FailWaitingTask(const TaskName& name);
 
   /// Moves the job's own state on by that of its tasks. A cancelled job is
   /// final at once; its runs are still to be stopped by the caller.
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -203,7 +203,7 @@
   const LossVerdict verdict =
       JudgeLosses(task->losses, task->run, options_.losses);
   task->held_back = verdict == LossVerdict::kMustWait;
-  if (verdict != LossVerdict::kGivenUp || !job->GiveUp(name)) return;
+  if (verdict != LossVerdict::kGivenUp || !job->FailWaitingTask(name)) return;
   ctx.Log(LogId::kTaskGivenUp, {{"job", name.job.value()},
                                 {"task", ToString(name)},
                                 {"runs", ListLosses(task->losses)}});
