--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -108,7 +108,7 @@
   /// That run, or a newer one, was stopped or ended there.
   kStaleRun,
   /// Its lease was over when it came.
-  kTooLate,
+  kLeaseExpired,
   kNoRoom,
   /// The ticket of the advice does not hold.
   kNoTicket,
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -29,7 +29,7 @@
       return "fenced";
     case OrderOutcome::kStaleRun:
       return "old run";
-    case OrderOutcome::kTooLate:
+    case OrderOutcome::kLeaseExpired:
       return "too late";
     case OrderOutcome::kNoRoom:
       return "no room";
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -234,7 +234,7 @@
   if (barred != barred_.end() && order.run <= barred->second) {
     return OrderOutcome::kStaleRun;
   }
-  if (too_late) return OrderOutcome::kTooLate;
+  if (too_late) return OrderOutcome::kLeaseExpired;
   const TaskTruth truth = truth_(order.task);
   dispatch::Resources used = UsedRoom();
   used += truth.need;
