--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -23,7 +23,7 @@
 
 constexpr Duration kOrderTimeout{1000};
 /// How often a look that waits is tried again.
-constexpr Duration kLookStep{20};
+constexpr Duration kPollStep{20};
 constexpr Duration kAdviceTime{100};
 constexpr Duration kTicketTime{3000};
 
@@ -133,7 +133,7 @@
   if (waits) {
     dispatch::PollRunner rest = poll;
     rest.until_ms = 0;
-    At(now_ + kLookStep, [this, node, incarnation, rest, until, there] {
+    At(now_ + kPollStep, [this, node, incarnation, rest, until, there] {
       AnswerPoll(node, incarnation, rest, until, there);
     });
     return;
