--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -389,7 +389,7 @@
     seat.rack = runner->rack();
     seat.room = runner->free_room();
     seat.suspect = now < runner->suspect_until;
-    seat.may_fail_at_once = runner->MayFailAtOnce(now);
+    seat.may_fail_immediately = runner->MayFailAtOnce(now);
     seat.tried = runner->IsTried();
     seat.fillers = runner->CountSharing(Sharing::kFills);
     seat.serving = runner->CountSharing(Sharing::kServes);
--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -21,7 +21,8 @@
 constexpr double kLeisurelyRunner = 1.07;
 
 int LimitPerSeat(const PlacementRequest& request, const Candidate& seat) {
-  const int most = seat.may_fail_at_once ? 1 : std::numeric_limits<int>::max();
+  const int most =
+      seat.may_fail_immediately ? 1 : std::numeric_limits<int>::max();
   const int limit = request.step->max_per_runner;
   if (limit <= 0) return most;
   const auto used = request.used.find(seat.runner->id());
@@ -114,7 +115,8 @@
                           const PlacementRequest& request) {
   const RunnerInfo& info = seat.runner->info();
   const StepSpec& step = *request.step;
-  if (seat.on_probation || (seat.may_fail_at_once && seat.tried)) return false;
+  if (seat.on_probation || (seat.may_fail_immediately && seat.tried))
+    return false;
   if (request.is_last_attempt && seat.suspect) return false;
   const bool closed =
       seat.urgent_rack && request.urgent_racks == UrgentRacks::kClosed;
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -34,7 +34,7 @@
   bool suspect = false;
   /// A run failed there as soon as it had begun. One other run is enough to
   /// tell whether it still fails all that it starts: `tried` once there is one.
-  bool may_fail_at_once = false;
+  bool may_fail_immediately = false;
   bool tried = false;
   /// A task that may crash its runners is being tried there, and nothing is to
   /// be put beside it meanwhile.
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -229,7 +229,7 @@
 TEST(Placement, RunnerThatFailedARunAtOnceIsTriedWithOne) {
   Add("broken", "r1-1", 8);
   CandidatePool seating = Seats();
-  seating.seats()[0].may_fail_at_once = true;
+  seating.seats()[0].may_fail_immediately = true;
   CHECK_TRUE(seating.PlaceAll(Request(2)).empty());
   CHECK_TRUE(seating.PlaceOne(Request(1)) != nullptr);
   POINTERS_EQUAL(nullptr, seating.PlaceOne(Request(1)));
