--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -225,7 +225,7 @@
   for (Task& member : step.tasks) member.checkpoint = checkpoint;
 }
 
-bool Job::NoteLoss(const TaskName& name, const RunLoss& loss) {
+bool Job::RecordLoss(const TaskName& name, const RunLoss& loss) {
   Task* task = Find(name);
   if (task == nullptr || task->phase != TaskPhase::kAssigned) return false;
   if (task->run != loss.run) return false;
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -166,7 +166,7 @@
 
   /// Notes that the task's present run went with its runner. Returns false, and
   /// changes nothing, if that run is not the task's present one.
-  bool NoteLoss(const TaskName& name, const RunLoss& loss);
+  bool RecordLoss(const TaskName& name, const RunLoss& loss);
   /// Notes that a run of the task was well for so long.
   void NoteLasted(const TaskName& name, Duration lasted,
                   const LossRules& rules);
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -140,7 +140,7 @@
   const bool began = run.phase == RunPhase::kRunning;
   lost.suspicious = began && soon && !loss.with_others;
   job->NoteLasted(name, lost.lasted, options_.losses);
-  if (!job->NoteLoss(name, lost)) return;
+  if (!job->RecordLoss(name, lost)) return;
   if (lost.crashed) return;
   losses_.NoteOpen(name, lost, ListedBirth(lost.incarnation), ctx.now());
 }
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -135,8 +135,8 @@
   spec.steps.emplace_back();
   Job job(spec);
   job.Assign(task, 3, Life("i-3"), TimePoint(0));
-  CHECK_TRUE(job.NoteLoss(task, Loss(3, true, true, Duration(17))));
-  CHECK_FALSE(job.NoteLoss(task, Loss(2, true, true)));
+  CHECK_TRUE(job.RecordLoss(task, Loss(3, true, true, Duration(17))));
+  CHECK_FALSE(job.RecordLoss(task, Loss(2, true, true)));
   Job read(spec);
   CHECK_TRUE(DecodeProgress(EncodeProgress(job), &read).ok());
   const std::vector<RunLoss>& losses = read.Find(task)->losses;
@@ -174,7 +174,7 @@
   job.Assign(task, 3, Life("i-3", StartTime(1700)), TimePoint(0));
   RunLoss loss = Loss(3, true, true);
   loss.incarnation.start_time = StartTime(1600);
-  CHECK_TRUE(job.NoteLoss(task, loss));
+  CHECK_TRUE(job.RecordLoss(task, loss));
   Job read(spec);
   CHECK_TRUE(DecodeProgress(EncodeProgress(job), &read).ok());
   CHECK_TRUE(read.Find(task)->incarnation == Life("i-3", StartTime(1700)));
