--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -117,7 +117,7 @@
   /// The runner is not well and did nothing.
   kUnhealthy,
   /// Another life of the runner answered.
-  kOtherLife,
+  kOtherIncarnation,
   /// No connection came about: surely nothing was done.
   kNotSent,
   /// No answer: it may have been done, or may be done seconds later.
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -39,7 +39,7 @@
       return "invalid";
     case OrderOutcome::kUnhealthy:
       return "unhealthy";
-    case OrderOutcome::kOtherLife:
+    case OrderOutcome::kOtherIncarnation:
       return "other life";
     case OrderOutcome::kNotSent:
       return "not sent";
@@ -90,7 +90,7 @@
                                 {"run", std::to_string(answer.run)},
                                 {"runner", answer.asked.runner.value()},
                                 {"outcome", ToString(answer.outcome)}});
-  if (answer.outcome == OrderOutcome::kOtherLife) {
+  if (answer.outcome == OrderOutcome::kOtherIncarnation) {
     // What another life refused never began, unless it had been sent to the
     // life before, which did not answer.
     if (runner->reachable()) run->phase = RunPhase::kRefused;
@@ -122,7 +122,7 @@
   if (runner == nullptr) return LeaseStatus::kHeld;
   NoteOrderAnswered(runner);
   NoteOrderHeard(ctx, runner, answer.clock_ms);
-  if (answer.outcome == OrderOutcome::kOtherLife) {
+  if (answer.outcome == OrderOutcome::kOtherIncarnation) {
     EndAll(ctx, runner, "another life answers at its address");
     return LeaseStatus::kHeld;
   }
@@ -218,7 +218,7 @@
       runner != nullptr && answer.number == runner->poll_number;
   if (!is_newest) return LeaseStatus::kHeld;
   runner->poll_in_flight = false;
-  if (answer.outcome == OrderOutcome::kOtherLife) {
+  if (answer.outcome == OrderOutcome::kOtherIncarnation) {
     EndAll(ctx, runner, "another life answers at its address");
     return LeaseStatus::kHeld;
   }
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -220,7 +220,7 @@
 
 OrderOutcome EmulatedRunner::TakeStart(const dispatch::StartRun& order) {
   if (order.target.incarnation.runner != info_.id)
-    return OrderOutcome::kOtherLife;
+    return OrderOutcome::kOtherIncarnation;
   if (!Obeys(order.target.epoch)) return OrderOutcome::kFenced;
   const bool too_late =
       order.until_ms <= clock_ms() && bounds_.lease_from_arrival == Duration(0);
@@ -272,7 +272,7 @@
   answer.clock_ms = clock_ms();
   answer.outcome = OrderOutcome::kDone;
   if (order.target.incarnation.runner != info_.id) {
-    answer.outcome = OrderOutcome::kOtherLife;
+    answer.outcome = OrderOutcome::kOtherIncarnation;
     return answer;
   }
   if (!Obeys(order.target.epoch)) {
@@ -306,7 +306,7 @@
   answer.clock_ms = clock_ms();
   answer.outcome = OrderOutcome::kDone;
   if (poll.target.incarnation.runner != info_.id) {
-    answer.outcome = OrderOutcome::kOtherLife;
+    answer.outcome = OrderOutcome::kOtherIncarnation;
     return answer;
   }
   if (!Obeys(poll.target.epoch)) {
