--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -238,8 +238,8 @@
   SubmitTo(&one, Step(1, 0, Duration(60000)));
   const int before = one.polls();
   one.Run(Duration(5000));
-  constexpr int kMostLooks = 100;
-  CHECK_TRUE(one.polls() - before <= kMostLooks);
+  constexpr int kMostPolls = 100;
+  CHECK_TRUE(one.polls() - before <= kMostPolls);
 }
 
 }  // namespace limeledge::emulator
