--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -394,7 +394,7 @@
     seat.fillers = runner->CountSharing(Sharing::kFills);
     seat.serving = runner->CountSharing(Sharing::kServes);
     for (const auto& [name, run] : runner->runs()) {
-      if (run.stopping) seat.coming += run.need;
+      if (run.stopping) seat.releasing += run.need;
       if (IsOnProbation(run, options_.probation, now)) seat.on_probation = true;
     }
     seats.push_back(std::move(seat));
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -29,7 +29,7 @@
   /// What is left after all that this pass decided on.
   Resources room;
   /// Room that runs which are being stopped, or end soon, will give back.
-  Resources coming;
+  Resources releasing;
   /// A run failed there lately, and none was done since.
   bool suspect = false;
   /// A run failed there as soon as it had begun. One other run is enough to
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -129,7 +129,7 @@
   }
   std::sort(victims.begin(), victims.end());
   Resources room = seat->room;
-  room += seat->coming;
+  room += seat->releasing;
   std::vector<Opening> openings;
   std::size_t next = 0;
   while (static_cast<int>(openings.size()) < limit) {
@@ -295,10 +295,10 @@
   const int most_kept = options_.policy->KeptGangs(options_.max_reserved_gangs);
   const bool worthless = unit.rank.outlook == Outlook::kHopeless;
   if (worthless || kept_ >= most_kept) return false;
-  const std::optional<ComingRoom> coming = SoonestDone(unit, request);
-  if (!coming.has_value()) return false;
+  const std::optional<ComingRoom> releasing = SoonestDone(unit, request);
+  if (!releasing.has_value()) return false;
   ++kept_;
-  for (Candidate* seat : coming->seats) seat->room -= unit.spec->room();
+  for (Candidate* seat : releasing->seats) seat->room -= unit.spec->room();
   return true;
 }
 
@@ -306,13 +306,13 @@
     const Unit& unit, const PlacementRequest& request) {
   std::optional<ComingRoom> best;
   for (const auto& [rack, seats] : GroupSeats(unit, request)) {
-    std::optional<ComingRoom> coming = SoonestRoom(seats, request);
-    if (!coming.has_value()) continue;
+    std::optional<ComingRoom> releasing = SoonestRoom(seats, request);
+    if (!releasing.has_value()) continue;
     const bool spread = unit.spec->same_rack && rack.empty();
-    coming->until =
-        coming->until + NearTimeOf(unit) * (spread ? kFarFactor : 1);
-    if (best.has_value() && best->until <= coming->until) continue;
-    best = std::move(coming);
+    releasing->until =
+        releasing->until + NearTimeOf(unit) * (spread ? kFarFactor : 1);
+    if (best.has_value() && best->until <= releasing->until) continue;
+    best = std::move(releasing);
   }
   return best;
 }
@@ -325,12 +325,12 @@
   std::stable_sort(
       places.begin(), places.end(),
       [](const auto& a, const auto& b) { return a.first < b.first; });
-  ComingRoom coming;
-  coming.until = places[request.count - 1].first;
+  ComingRoom releasing;
+  releasing.until = places[request.count - 1].first;
   for (int i = 0; i < request.count; ++i) {
-    coming.seats.push_back(places[i].second);
+    releasing.seats.push_back(places[i].second);
   }
-  return coming;
+  return releasing;
 }
 
 void Planner::Pass::AddComingPlaces(
