--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -233,8 +233,8 @@
   return true;
 }
 
-void Job::NoteLasted(const TaskName& name, Duration lasted,
-                     const LossRules& rules) {
+void Job::DropOutlivedLosses(const TaskName& name, Duration lasted,
+                             const LossRules& rules) {
   Task* task = Find(name);
   if (task != nullptr) ForgetOutlived(lasted, rules, &task->losses);
 }
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -168,8 +168,8 @@
   /// changes nothing, if that run is not the task's present one.
   bool RecordLoss(const TaskName& name, const RunLoss& loss);
   /// Notes that a run of the task was well for so long.
-  void NoteLasted(const TaskName& name, Duration lasted,
-                  const LossRules& rules);
+  void DropOutlivedLosses(const TaskName& name, Duration lasted,
+                          const LossRules& rules);
   /// Notes what became of a life that the task lost runs with. Returns false if
   /// nothing changes.
   bool ResolveLosses(const TaskName& name, const IncarnationId& incarnation,
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -139,7 +139,7 @@
   // went with their runners is no ground to give a task up.
   const bool began = run.phase == RunPhase::kRunning;
   lost.suspicious = began && soon && !loss.with_others;
-  job->NoteLasted(name, lost.lasted, options_.losses);
+  job->DropOutlivedLosses(name, lost.lasted, options_.losses);
   if (!job->RecordLoss(name, lost)) return;
   if (lost.crashed) return;
   losses_.NoteOpen(name, lost, ListedBirth(lost.incarnation), ctx.now());
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -163,7 +163,8 @@
   Job* job = book_.Find(name.job);
   if (job == nullptr) return;
   // A lost run is compared with those before it when it is counted.
-  if (end != RunEnd::kLapsed) job->NoteLasted(name, worked, options_.losses);
+  if (end != RunEnd::kLapsed)
+    job->DropOutlivedLosses(name, worked, options_.losses);
   if (!job->EndRun(name, number, end, checkpoint, MaxAttempts(*job))) return;
   Settle(ctx, job);
   JudgeTask(ctx, name);
