--- a/src/dispatch/desk.cc
+++ b/src/dispatch/desk.cc
@@ -56,7 +56,7 @@
       return "invalid";
     case CallResult::kConflict:
       return "conflict";
-    case CallResult::kNotTaken:
+    case CallResult::kNotAccepted:
       return "not taken";
     case CallResult::kUnknown:
       return "unknown";
@@ -81,7 +81,7 @@
                   const std::string& message, const std::string& state,
                   std::int64_t waiting) {
   const bool later =
-      result == CallResult::kNotTaken || result == CallResult::kUnknown;
+      result == CallResult::kNotAccepted || result == CallResult::kUnknown;
   ctx.Log(LogId::kCallAnswered, {{"call", ToString(call.kind)},
                                  {"path", call.path},
                                  {"result", ToString(result)},
@@ -110,7 +110,7 @@
   const bool refused = queue == nullptr || (!queue->is_public && !has_key);
   if (!refused) return queue;
   if (!fresh) {
-    Answer(ctx, call, CallResult::kNotTaken, "the configuration may be old");
+    Answer(ctx, call, CallResult::kNotAccepted, "the configuration may be old");
   } else if (queue == nullptr) {
     Answer(ctx, call, CallResult::kNoQueue, "no such queue");
   } else {
@@ -123,7 +123,7 @@
                   const Catalog* catalog, TimePoint catalog_confirmed,
                   bool store_answers) {
   if (catalog == nullptr) {
-    Answer(ctx, call, CallResult::kNotTaken, "no configuration yet");
+    Answer(ctx, call, CallResult::kNotAccepted, "no configuration yet");
     return;
   }
   const bool fresh = ctx.now() - catalog_confirmed < options_.catalog_fresh;
@@ -138,7 +138,7 @@
   }
   if (!store_answers) {
     // Nothing was sent, so the refusal is certain.
-    Answer(ctx, call, CallResult::kNotTaken, "the store does not answer");
+    Answer(ctx, call, CallResult::kNotAccepted, "the store does not answer");
     return;
   }
   if (call.kind != CallKind::kSubmit) {
@@ -265,7 +265,7 @@
     return;
   }
   Answer(ctx, pending.call,
-         pending.unsettled ? CallResult::kUnknown : CallResult::kNotTaken,
+         pending.unsettled ? CallResult::kUnknown : CallResult::kNotAccepted,
          pending.unsettled ? "the store's answer was lost"
                            : "the store took nothing");
 }
@@ -305,7 +305,7 @@
     return;
   }
   if (answer.outcome != StoreOutcome::kDone) {
-    Answer(ctx, pending.call, CallResult::kNotTaken,
+    Answer(ctx, pending.call, CallResult::kNotAccepted,
            "the store does not answer");
     return;
   }
@@ -331,7 +331,7 @@
   const absl::StatusOr<JobState> state =
       DecodeProgressState(answer.rows.front().value);
   if (!state.ok()) {
-    Answer(ctx, pending.call, CallResult::kNotTaken, "unreadable progress");
+    Answer(ctx, pending.call, CallResult::kNotAccepted, "unreadable progress");
     return;
   }
   Answer(ctx, pending.call, CallResult::kDone, "", ToString(*state));
@@ -369,7 +369,7 @@
     const absl::StatusOr<WaitingCounts> counts =
         DecodeWaiting(answer.rows.front().value);
     if (!counts.ok()) {
-      Answer(ctx, pending.call, CallResult::kNotTaken, "unreadable counts");
+      Answer(ctx, pending.call, CallResult::kNotAccepted, "unreadable counts");
       return;
     }
     const auto found = counts->find(pending.queue);
--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -138,7 +138,7 @@
   /// The id names another job.
   kConflict,
   /// Not taken; it will never run by this call.
-  kNotTaken,
+  kNotAccepted,
   /// It may have been taken.
   kUnknown,
 };
--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -84,7 +84,7 @@
       return;
     }
     const bool refused =
-        answer != nullptr && answer->result == CallResult::kNotTaken;
+        answer != nullptr && answer->result == CallResult::kNotAccepted;
     if (!refused) submitted.may_be_taken = true;
     At(now_ + kCallerRetry, [this, job] { SendSubmit(job); });
   });
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -95,7 +95,7 @@
 TEST(Desk, CallerThatAnotherNodeWouldServeIsToldToComeBackAtOnce) {
   desk.NoteStoreLoss(StoreLoss::kHereOnly);
   Begin(CallKind::kSubmit, false);
-  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotTaken);
+  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
   LONGS_EQUAL(0, Newest<RespondToCall>()->retry_after.value().ms());
   desk.NoteStoreLoss(StoreLoss::kEverywhere);
   Begin(CallKind::kSubmit, false);
@@ -107,7 +107,7 @@
   Begin(CallKind::kQuery);
   LoseRead(false);
   LoseRead(false);
-  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotTaken);
+  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
   CHECK_TRUE(desk.idle());
 }
 
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -104,7 +104,7 @@
   call.kind = CallKind::kSubmit;
   const auto answers = Only<RespondToCall>(Reduce(call));
   LONGS_EQUAL(1, answers.size());
-  CHECK_TRUE(answers.front().result == CallResult::kNotTaken);
+  CHECK_TRUE(answers.front().result == CallResult::kNotAccepted);
   CHECK_TRUE(answers.front().retry_after.value().ms() > 0);
 }
 
