--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -104,7 +104,7 @@
   TaskName task;
   IncarnationId incarnation;
   /// The job that needs the room.
-  JobId beneficiary;
+  JobId preemptor;
 };
 
 /// A step that waits for tickets, and the runners that suit it, best first.
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -207,7 +207,7 @@
   ctx.Log(LogId::kRunDisplaced,
           {{"task", ToString(displaced.task)},
            {"runner", displaced.incarnation.runner.value()},
-           {"for", displaced.beneficiary.value()}});
+           {"for", displaced.preemptor.value()}});
   AskStop(ctx, runner, displaced.task);
   StopGang(ctx, displaced.task);
 }
