--- a/src/dispatch/job_spec.h
+++ b/src/dispatch/job_spec.h
@@ -100,7 +100,7 @@
   /// The system may not stop its tasks at will.
   bool limits_absence() const { return may_be_away >= 0; }
   /// Whether its runs may be stopped so that others have their room.
-  bool may_make_way() const { return !long_running && !limits_absence(); }
+  bool preemptible() const { return !long_running && !limits_absence(); }
   Sharing sharing() const {
     if (filler) return Sharing::kFills;
     return tail_target > Duration(0) ? Sharing::kServes : Sharing::kNone;
--- a/src/dispatch/planner_places.cc
+++ b/src/dispatch/planner_places.cc
@@ -176,7 +176,7 @@
   const bool closed = request.urgent_racks == UrgentRacks::kClosed;
   if (!closed || !request.anywhere) return std::nullopt;
   // What can not make way again would take the racks for good.
-  if (!unit.spec->may_make_way()) return std::nullopt;
+  if (!unit.spec->preemptible()) return std::nullopt;
   if (!LeavesHeadroom(unit, tasks)) return std::nullopt;
   PlacementRequest wider = request;
   wider.urgent_racks = UrgentRacks::kOpen;
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -113,7 +113,7 @@
   Job* job = jobs_.Find(name.job);
   if (job == nullptr) return false;
   const StepSpec& step = job->step_spec(name.step);
-  if (!step.may_make_way()) return false;
+  if (!step.preemptible()) return false;
   if (unit.rank.entitled) return entitled_.count(name.job) == 0;
   return PolicyOf(*job, catalog_).priority > unit.policy.priority;
 }
