--- a/src/dispatch/desk.cc
+++ b/src/dispatch/desk.cc
@@ -50,7 +50,7 @@
       return "gone";
     case CallResult::kUnknownKey:
       return "unknown key";
-    case CallResult::kNoQueue:
+    case CallResult::kUnknownQueue:
       return "no queue";
     case CallResult::kInvalid:
       return "invalid";
@@ -112,7 +112,7 @@
   if (!fresh) {
     Answer(ctx, call, CallResult::kNotAccepted, "the configuration may be old");
   } else if (queue == nullptr) {
-    Answer(ctx, call, CallResult::kNoQueue, "no such queue");
+    Answer(ctx, call, CallResult::kUnknownQueue, "no such queue");
   } else {
     Answer(ctx, call, CallResult::kUnknownKey, "the key is not known");
   }
--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -132,7 +132,7 @@
   /// The job is not there.
   kGone,
   kUnknownKey,
-  kNoQueue,
+  kUnknownQueue,
   /// The call is malformed; it changed nothing.
   kInvalid,
   /// The id names another job.
