--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -19,7 +19,7 @@
 #include "dispatch/job_registry.h"
 #include "dispatch/placement.h"
 #include "dispatch/planning_policy.h"
-#include "dispatch/run_times.h"
+#include "dispatch/run_time_estimator.h"
 
 namespace limeledge::dispatch {
 
--- a/src/dispatch/run_times.h
+++ b/src/dispatch/run_time_estimator.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_DISPATCH_RUN_TIMES_H_
-#define LIMELEDGE_SRC_DISPATCH_RUN_TIMES_H_
+#ifndef LIMELEDGE_SRC_DISPATCH_RUN_TIME_ESTIMATOR_H_
+#define LIMELEDGE_SRC_DISPATCH_RUN_TIME_ESTIMATOR_H_
 
 #include <map>
 #include <optional>
@@ -52,4 +52,4 @@
 
 }  // namespace limeledge::dispatch
 
-#endif  // LIMELEDGE_SRC_DISPATCH_RUN_TIMES_H_
+#endif  // LIMELEDGE_SRC_DISPATCH_RUN_TIME_ESTIMATOR_H_
--- a/test/run-times-test.cc
+++ b/test/run-times-test.cc
@@ -5,7 +5,7 @@
 // SPDX-License-Identifier: MIT
 
 #include "CppUTest/TestHarness.h"
-#include "dispatch/run_times.h"
+#include "dispatch/run_time_estimator.h"
 
 namespace limeledge::dispatch {
 
