--- a/src/dispatch/job_spec.h
+++ b/src/dispatch/job_spec.h
@@ -95,10 +95,10 @@
   /// Takes only processor time that others leave unused.
   bool filler = false;
   /// Tasks that may be away at once by the system's doing; -1 for no limit.
-  int may_be_away = -1;
+  int max_unavailable = -1;
 
   /// The system may not stop its tasks at will.
-  bool limits_absence() const { return may_be_away >= 0; }
+  bool limits_absence() const { return max_unavailable >= 0; }
   /// Whether its runs may be stopped so that others have their room.
   bool preemptible() const { return !long_running && !limits_absence(); }
   Sharing sharing() const {
--- a/src/dispatch/row_codec.cc
+++ b/src/dispatch/row_codec.cc
@@ -83,7 +83,7 @@
     json["tail_target_ms"] = Json::Int64(step.tail_target.ms());
   }
   if (step.filler) json["filler"] = true;
-  if (step.may_be_away >= 0) json["may_be_away"] = step.may_be_away;
+  if (step.max_unavailable >= 0) json["may_be_away"] = step.max_unavailable;
   return json;
 }
 
@@ -108,7 +108,7 @@
   step.image = json.get("image", "").asString();
   step.tail_target = Duration(json.get("tail_target_ms", 0).asInt64());
   step.filler = json.get("filler", false).asBool();
-  step.may_be_away = json.get("may_be_away", -1).asInt();
+  step.max_unavailable = json.get("may_be_away", -1).asInt();
   return step;
 }
 
--- a/test/planning-test.cc
+++ b/test/planning-test.cc
@@ -204,7 +204,7 @@
   dispatch::StepSpec filler = Step(16, 1, Duration(60000));
   filler.filler = true;
   filler.max_per_runner = 2;
-  filler.may_be_away = 1;
+  filler.max_unavailable = 1;
   Submit(filler);
   system.Run(Duration(1000));
   dispatch::StepSpec serving = Step(1, 1, Duration(500));
@@ -223,7 +223,7 @@
   dispatch::StepSpec step = Step(2, 1, Duration(9000));
   step.saves_progress = true;
   dispatch::StepSpec bound = step;
-  bound.may_be_away = 1;
+  bound.max_unavailable = 1;
   const JobId free = Submit(step);
   const JobId kept = Submit(bound);
   system.Run(Duration(3000));
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -37,7 +37,7 @@
   STRCMP_EQUAL("r1-3", step.data_rack.c_str());
   LONGS_EQUAL(1, step.max_per_runner);
   LONGS_EQUAL(40, step.tail_target.ms());
-  LONGS_EQUAL(2, step.may_be_away);
+  LONGS_EQUAL(2, step.max_unavailable);
   LONGS_EQUAL(0, job->steps[1].after.front());
   LONGS_EQUAL(3, job->recurrence.times);
   LONGS_EQUAL(1700000000000, job->recurrence.first_wall_ms);
@@ -48,7 +48,7 @@
   const auto job = DecodeJob(R"({"steps":[{}]})");
   CHECK_TRUE(job.ok());
   LONGS_EQUAL(1, job->steps[0].count);
-  LONGS_EQUAL(-1, job->steps[0].may_be_away);
+  LONGS_EQUAL(-1, job->steps[0].max_unavailable);
   LONGS_EQUAL(1, job->occurrences());
 }
 
