--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -149,7 +149,7 @@
   OrderOutcome outcome = OrderOutcome::kLost;
   std::int64_t clock_ms = 0;
   /// It was sent before without an answer, and that may still be carried out.
-  bool may_repeat = false;
+  bool earlier_attempt_pending = false;
 };
 
 struct StopRunCompleted {
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -76,7 +76,8 @@
 
 void Scheduler::NoteLateStart(TimePoint now, Runner* runner,
                               const StartRunCompleted& answer, const Run& run) {
-  const bool open = answer.may_repeat || answer.outcome == OrderOutcome::kLost;
+  const bool open =
+      answer.earlier_attempt_pending || answer.outcome == OrderOutcome::kLost;
   if (!open) return;
   const TimePoint until = now + options_.late_order;
   runner->late_orders.NoteStart({answer.task, answer.run}, run.need, now,
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -29,7 +29,7 @@
 
 /// Tells with a start's answer that an earlier sending may still come.
 void NoteRepeated(bool repeated, dispatch::StartRunCompleted* answer) {
-  answer->may_repeat = repeated;
+  answer->earlier_attempt_pending = repeated;
 }
 
 /// Stops are harmless however late they come.
