--- a/src/emulator/emulated_oracle.cc
+++ b/src/emulator/emulated_oracle.cc
@@ -39,7 +39,7 @@
                      store_slowness > 1 || !nodes_without_store.empty() ||
                      !parts_down.empty();
   const bool runners = orders_lost > 0 || looks_lost > 0 ||
-                       starts_repeated > 0 || looks_late > 0 ||
+                       starts_repeated > 0 || polls_late > 0 ||
                        !unreachable_runners.empty() ||
                        !unlisted_runners.empty();
   return !store && !runners;
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -45,7 +45,7 @@
     LosePoll(node, incarnation, poll);
     return;
   }
-  if (Happens(faults_.looks_late)) {
+  if (Happens(faults_.polls_late)) {
     LosePoll(node, incarnation, poll);
     At(now_ + LateBy(), [this, poll] { CarryOutLate(poll); });
     return;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -77,7 +77,7 @@
   /// and the first is carried out late.
   double starts_repeated = 0;
   /// Share of looks that are lost and carried out late.
-  double looks_late = 0;
+  double polls_late = 0;
   /// The store takes so many times as long.
   int store_slowness = 1;
   std::set<int> nodes_without_store;
--- a/test/dispatch-course.h
+++ b/test/dispatch-course.h
@@ -218,7 +218,7 @@
         faults.orders_lost = faults.orders_lost > 0 ? 0 : 0.3;
         break;
       case 2:
-        faults.looks_late = faults.looks_late > 0 ? 0 : 0.3;
+        faults.polls_late = faults.polls_late > 0 ? 0 : 0.3;
         break;
       case 3:
         for (int node = 0; node < 3; ++node) {
@@ -272,7 +272,7 @@
         faults.late_order = Duration(Pick(500, 12000));
         break;
       default:
-        faults.looks_late = faults.looks_late > 0 ? 0 : 0.1;
+        faults.polls_late = faults.polls_late > 0 ? 0 : 0.1;
         faults.late_order = Duration(Pick(500, 12000));
     }
   }
