--- a/src/dispatch/run_times.cc
+++ b/src/dispatch/run_time_estimator.cc
@@ -4,11 +4,11 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
+#include "dispatch/run_time_estimator.h"
+
 #include <algorithm>
 #include <cmath>
 
-#include "dispatch/run_time_estimator.h"
-
 namespace limeledge::dispatch {
 
 namespace {
