--- a/src/dispatch/job_spec.h
+++ b/src/dispatch/job_spec.h
@@ -98,9 +98,9 @@
   int max_unavailable = -1;
 
   /// The system may not stop its tasks at will.
-  bool limits_absence() const { return max_unavailable >= 0; }
+  bool limits_unavailability() const { return max_unavailable >= 0; }
   /// Whether its runs may be stopped so that others have their room.
-  bool preemptible() const { return !long_running && !limits_absence(); }
+  bool preemptible() const { return !long_running && !limits_unavailability(); }
   Sharing sharing() const {
     if (filler) return Sharing::kFills;
     return tail_target > Duration(0) ? Sharing::kServes : Sharing::kNone;
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -237,7 +237,7 @@
     if (displaced_.count(name) != 0) continue;
     const Job* job = jobs_.Find(name.job);
     const bool may_stop =
-        job != nullptr && !job->step_spec(name.step).limits_absence();
+        job != nullptr && !job->step_spec(name.step).limits_unavailability();
     if (!may_stop) return false;
     fillers->push_back(name);
   }
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -146,7 +146,7 @@
   if (!moves) return;
   // A runner that only seems to leave is sound as far as anybody can tell.
   const bool said_so = runner->info().draining;
-  if (!said_so && step.limits_absence()) return;
+  if (!said_so && step.limits_unavailability()) return;
   if (ctx.now() + TimeLeft(run, ctx.now()) < runner->leaves_at) return;
   ctx.Log(LogId::kRunEvacuated, {{"task", ToString(name)},
                                  {"runner", runner->id().value()},
