--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -180,7 +180,7 @@
   /// The store answers that peer.
   bool store_answers = false;
   /// How long ago it last did.
-  Duration store_age;
+  Duration store_answer_age;
 };
 
 /// What a caller asks for.
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -151,7 +151,7 @@
   } else if (!answer.store_answers) {
     ++round_.lost;
   } else {
-    const TimePoint heard_at = ctx.now() - answer.store_age;
+    const TimePoint heard_at = ctx.now() - answer.store_answer_age;
     const std::optional<TimePoint> failing = patience_->failing_since();
     const bool since =
         failing.has_value() && heard_at > *failing + options_.margin;
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -57,7 +57,7 @@
     if (!hears) continue;
     answer.answered = true;
     answer.store_answers = peer.node->StoreAnswers();
-    answer.store_age = now_ - peer.node->store_answered_at();
+    answer.store_answer_age = now_ - peer.node->store_answered_at();
   }
   const Duration taken = answer.answered ? options_.network * 2 : ask.timeout;
   At(now_ + taken,
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -100,7 +100,7 @@
     PeerReplied word;
     word.answered = true;
     word.store_answers = store_answers;
-    word.store_age = age;
+    word.store_answer_age = age;
     return word;
   }
 };
