--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -41,7 +41,7 @@
   CheckMayAct(node, "looks at a runner");
   const int incarnation = processes_[node].incarnation;
   ++looks_;
-  if (Happens(faults_.looks_lost)) {
+  if (Happens(faults_.polls_lost)) {
     LosePoll(node, incarnation, poll);
     return;
   }
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -70,7 +70,7 @@
   double store_answers_lost = 0;
   double orders_lost = 0;
   /// Share of looks that never arrive.
-  double looks_lost = 0;
+  double polls_lost = 0;
   /// Such an order is carried out late by up to this.
   Duration late_order{0};
   /// Share of starts whose first sending gets no answer: the second one does,
--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -214,7 +214,7 @@
         LoseLeaderWithItsStops();
         break;
       case 6:
-        faults.looks_lost = 0.3;
+        faults.polls_lost = 0.3;
         break;
       case 7:
         faults.unlisted_runners.insert(AnyRunner());
