--- a/src/dispatch/advice_book.cc
+++ b/src/dispatch/advice_book.cc
@@ -4,10 +4,10 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#include "dispatch/advice_book.h"
-
 #include <utility>
 
+#include "dispatch/ticket_cache.h"
+
 namespace limeledge::dispatch {
 
 std::string TicketCache::TicketFor(const StepName& step,
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -13,13 +13,13 @@
 #include <tuple>
 #include <vector>
 
-#include "dispatch/advice_book.h"
 #include "dispatch/catalog.h"
 #include "dispatch/fleet.h"
 #include "dispatch/job_registry.h"
 #include "dispatch/placement.h"
 #include "dispatch/planning_policy.h"
 #include "dispatch/run_time_estimator.h"
+#include "dispatch/ticket_cache.h"
 
 namespace limeledge::dispatch {
 
--- a/src/dispatch/advice_book.h
+++ b/src/dispatch/ticket_cache.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_DISPATCH_ADVICE_BOOK_H_
-#define LIMELEDGE_SRC_DISPATCH_ADVICE_BOOK_H_
+#ifndef LIMELEDGE_SRC_DISPATCH_TICKET_CACHE_H_
+#define LIMELEDGE_SRC_DISPATCH_TICKET_CACHE_H_
 
 #include <map>
 #include <string>
@@ -73,4 +73,4 @@
 
 }  // namespace limeledge::dispatch
 
-#endif  // LIMELEDGE_SRC_DISPATCH_ADVICE_BOOK_H_
+#endif  // LIMELEDGE_SRC_DISPATCH_TICKET_CACHE_H_
