--- a/src/dispatch/job_spec.h
+++ b/src/dispatch/job_spec.h
@@ -60,7 +60,7 @@
 
 /// The other kind of task that must not be beside one of this kind; `kNone` if
 /// any may be.
-inline Sharing KeptApart(Sharing sharing) {
+inline Sharing ConflictingSharing(Sharing sharing) {
   if (sharing == Sharing::kFills) return Sharing::kServes;
   return sharing == Sharing::kServes ? Sharing::kFills : Sharing::kNone;
 }
--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -133,7 +133,7 @@
       info.labels.count(step.data_rack) == 0) {
     return false;
   }
-  if (seat.CountSharing(KeptApart(step.sharing())) > 0) return false;
+  if (seat.CountSharing(ConflictingSharing(step.sharing())) > 0) return false;
   return LimitPerSeat(request, seat) > 0;
 }
 
