--- a/src/dispatch/desk.cc
+++ b/src/dispatch/desk.cc
@@ -77,9 +77,9 @@
 
 }  // namespace
 
-void Desk::Answer(Context& ctx, const CallReceived& call, CallResult result,
-                  const std::string& message, const std::string& state,
-                  std::int64_t waiting) {
+void FrontEnd::Answer(Context& ctx, const CallReceived& call, CallResult result,
+                      const std::string& message, const std::string& state,
+                      std::int64_t waiting) {
   const bool later =
       result == CallResult::kNotAccepted || result == CallResult::kUnknown;
   ctx.Log(LogId::kCallAnswered, {{"call", ToString(call.kind)},
@@ -93,16 +93,16 @@
   ctx.Emit(std::move(answer));
 }
 
-Duration Desk::TimeToComeBack() const {
+Duration FrontEnd::TimeToComeBack() const {
   // Their next try reaches another node, and urgent work has a second or so to
   // lose. A store that serves nobody would see them use up their tries.
   const bool others_serve = loss_ == StoreLoss::kHereOnly;
   return others_serve ? Duration(0) : options_.retry_after;
 }
 
-const Queue* Desk::FindQueue(Context& ctx, const CallReceived& call,
-                             const Catalog& catalog, bool fresh,
-                             WorkspaceId* workspace) {
+const Queue* FrontEnd::FindQueue(Context& ctx, const CallReceived& call,
+                                 const Catalog& catalog, bool fresh,
+                                 WorkspaceId* workspace) {
   const Queue* queue = catalog.Match(call.host, call.path);
   const auto known = catalog.workspace_by_key.find(call.key);
   const bool has_key = known != catalog.workspace_by_key.end();
@@ -119,9 +119,9 @@
   return nullptr;
 }
 
-void Desk::Handle(Context& ctx, const CallReceived& call,
-                  const Catalog* catalog, TimePoint catalog_confirmed,
-                  bool store_answers) {
+void FrontEnd::Handle(Context& ctx, const CallReceived& call,
+                      const Catalog* catalog, TimePoint catalog_confirmed,
+                      bool store_answers) {
   if (catalog == nullptr) {
     Answer(ctx, call, CallResult::kNotAccepted, "no configuration yet");
     return;
@@ -150,8 +150,8 @@
   }
 }
 
-void Desk::BeginRead(Context& ctx, const CallReceived& call, const Queue& queue,
-                     const JobId& id) {
+void FrontEnd::BeginRead(Context& ctx, const CallReceived& call,
+                         const Queue& queue, const JobId& id) {
   Pending pending;
   pending.call = call;
   pending.due = ctx.now() + call.deadline;
@@ -165,8 +165,9 @@
   }
 }
 
-void Desk::Submit(Context& ctx, const CallReceived& call, const Queue& queue,
-                  const WorkspaceId& workspace, const JobId& id) {
+void FrontEnd::Submit(Context& ctx, const CallReceived& call,
+                      const Queue& queue, const WorkspaceId& workspace,
+                      const JobId& id) {
   JobSpec spec = call.spec;
   spec.id = id;
   spec.queue = queue.id;
@@ -188,26 +189,26 @@
   Send(ctx, std::move(pending));
 }
 
-bool Desk::MayResend(TimePoint now, const Pending& pending,
-                     bool store_answers) const {
+bool FrontEnd::MayResend(TimePoint now, const Pending& pending,
+                         bool store_answers) const {
   if (!store_answers && pending.misses + 1 >= kMissesUntilAway) return false;
   if (pending.misses + 1 >= options_.most_tries) return false;
   return pending.due - now >= options_.least_try;
 }
 
-Duration Desk::BoundOf(TimePoint now, const Pending& pending) const {
+Duration FrontEnd::BoundOf(TimePoint now, const Pending& pending) const {
   return std::min(patience_->For(pending.misses),
                   std::max(pending.due - now, options_.least_try));
 }
 
-void Desk::Send(Context& ctx, Pending pending) {
+void FrontEnd::Send(Context& ctx, Pending pending) {
   const Ticket ticket = ctx.NewTicket();
   ctx.Emit(CommitRows{ticket, StoreLane::kCallers, pending.transaction,
                       BoundOf(ctx.now(), pending)});
   calls_[ticket] = std::move(pending);
 }
 
-void Desk::Read(Context& ctx, Pending pending, Stage stage) {
+void FrontEnd::Read(Context& ctx, Pending pending, Stage stage) {
   ReadRows read;
   if (stage == Stage::kCount) {
     read.table = kLeadershipTable;
@@ -227,15 +228,15 @@
   SendRead(ctx, std::move(pending));
 }
 
-void Desk::SendRead(Context& ctx, Pending pending) {
+void FrontEnd::SendRead(Context& ctx, Pending pending) {
   pending.read.ticket = ctx.NewTicket();
   pending.read.timeout = BoundOf(ctx.now(), pending);
   ctx.Emit(pending.read);
   calls_[pending.read.ticket] = std::move(pending);
 }
 
-void Desk::Handle(Context& ctx, const CommitCompleted& answer,
-                  bool store_answers) {
+void FrontEnd::Handle(Context& ctx, const CommitCompleted& answer,
+                      bool store_answers) {
   auto entry = calls_.extract(answer.ticket);
   Pending pending = std::move(entry.mapped());
   const bool submit = pending.stage == Stage::kSubmit;
@@ -270,16 +271,16 @@
                            : "the store took nothing");
 }
 
-void Desk::Accept(Context& ctx, const Pending& pending,
-                  const std::string& message) {
+void FrontEnd::Accept(Context& ctx, const Pending& pending,
+                      const std::string& message) {
   ctx.Log(LogId::kJobAccepted, {{"job", pending.job.value()},
                                 {"queue", pending.queue.value()},
                                 {"workspace", pending.workspace.value()}});
   Answer(ctx, pending.call, CallResult::kDone, message);
 }
 
-void Desk::TakeSubmit(Context& ctx, const Pending& pending,
-                      const CommitCompleted& answer) {
+void FrontEnd::TakeSubmit(Context& ctx, const Pending& pending,
+                          const CommitCompleted& answer) {
   for (const Row& row : answer.rows) {
     if (row.key.key != pending.job.value()) continue;
     if (SameJob(row.value, pending.stored_spec)) {
@@ -294,8 +295,8 @@
          "the job's row is unreadable");
 }
 
-void Desk::Handle(Context& ctx, const ReadCompleted& answer,
-                  bool store_answers) {
+void FrontEnd::Handle(Context& ctx, const ReadCompleted& answer,
+                      bool store_answers) {
   auto entry = calls_.extract(answer.ticket);
   Pending pending = std::move(entry.mapped());
   const bool lost = answer.outcome == StoreOutcome::kUnknown;
@@ -322,8 +323,8 @@
   }
 }
 
-void Desk::TakeProgress(Context& ctx, Pending pending,
-                        const ReadCompleted& answer) {
+void FrontEnd::TakeProgress(Context& ctx, Pending pending,
+                            const ReadCompleted& answer) {
   if (answer.rows.empty()) {
     Read(ctx, std::move(pending), Stage::kReadJob);
     return;
@@ -337,7 +338,8 @@
   Answer(ctx, pending.call, CallResult::kDone, "", ToString(*state));
 }
 
-void Desk::TakeJob(Context& ctx, Pending pending, const ReadCompleted& answer) {
+void FrontEnd::TakeJob(Context& ctx, Pending pending,
+                       const ReadCompleted& answer) {
   if (answer.rows.empty()) {
     Answer(ctx, pending.call, CallResult::kGone);
     return;
@@ -362,8 +364,8 @@
   Send(ctx, std::move(pending));
 }
 
-void Desk::TakeCount(Context& ctx, const Pending& pending,
-                     const ReadCompleted& answer) {
+void FrontEnd::TakeCount(Context& ctx, const Pending& pending,
+                         const ReadCompleted& answer) {
   std::int64_t waiting = 0;
   if (!answer.rows.empty()) {
     const absl::StatusOr<WaitingCounts> counts =
--- a/src/dispatch/desk.h
+++ b/src/dispatch/desk.h
@@ -36,10 +36,10 @@
 /// The calls that wait for the store.
 ///
 /// Thread safety: none; use it from one thread.
-class Desk {
+class FrontEnd {
  public:
   /// `patience` outlives this object.
-  Desk(DeskOptions options, const StorePatience* patience)
+  FrontEnd(DeskOptions options, const StorePatience* patience)
       : options_(options), patience_(patience) {}
 
   /// Begins a call, or answers it at once. `store_answers`: false when the
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -12,9 +12,9 @@
 namespace limeledge::dispatch {
 
 // A call that was taken up while the store seemed well.
-TEST_GROUP(Desk) {
+TEST_GROUP(FrontEnd) {
   StorePatience patience;
-  Desk desk{DeskOptions(), &patience};
+  FrontEnd desk{DeskOptions(), &patience};
   Catalog catalog = emulator::MakeCatalog();
   Ticket tickets;
   Effects effects;
@@ -66,14 +66,14 @@
   }
 };
 
-TEST(Desk, SubmitThatIsLostOnceIsSentAgainWhateverTheStore) {
+TEST(FrontEnd, SubmitThatIsLostOnceIsSentAgainWhateverTheStore) {
   Begin(CallKind::kSubmit);
   LoseCommit(false);
   CHECK_TRUE(Newest<CommitRows>() != nullptr);
   CHECK_TRUE(Newest<RespondToCall>() == nullptr);
 }
 
-TEST(Desk, SubmitThatIsLostTwiceGoesOnWhileOthersAreAnswered) {
+TEST(FrontEnd, SubmitThatIsLostTwiceGoesOnWhileOthersAreAnswered) {
   Begin(CallKind::kSubmit);
   LoseCommit(true);
   LoseCommit(true);
@@ -81,7 +81,7 @@
 }
 
 // Callers were held for the three seconds that they had, and gave up for good.
-TEST(Desk, SubmitThatIsLostTwiceWhileTheStoreIsAwayIsAnsweredAtOnce) {
+TEST(FrontEnd, SubmitThatIsLostTwiceWhileTheStoreIsAwayIsAnsweredAtOnce) {
   Begin(CallKind::kSubmit);
   LoseCommit(false);
   LoseCommit(false);
@@ -92,7 +92,7 @@
   CHECK_TRUE(desk.idle());
 }
 
-TEST(Desk, CallerThatAnotherNodeWouldServeIsToldToComeBackAtOnce) {
+TEST(FrontEnd, CallerThatAnotherNodeWouldServeIsToldToComeBackAtOnce) {
   desk.NoteStoreLoss(StoreLoss::kHereOnly);
   Begin(CallKind::kSubmit, false);
   CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
@@ -103,7 +103,7 @@
               Newest<RespondToCall>()->retry_after.value().ms());
 }
 
-TEST(Desk, QuestionThatIsLostTwiceWhileTheStoreIsAwayIsAnsweredAtOnce) {
+TEST(FrontEnd, QuestionThatIsLostTwiceWhileTheStoreIsAwayIsAnsweredAtOnce) {
   Begin(CallKind::kQuery);
   LoseRead(false);
   LoseRead(false);
