--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -282,7 +282,7 @@
   Context ctx = NewContext();
   fleet.Handle(ctx, listed);
   const IncarnationId last = listed.runners.back().incarnation();
-  bool looked_at_last = false;
+  bool last_polled = false;
   constexpr int kRounds = 30;
   for (int round = 0; round < kRounds; ++round) {
     Context polls = NewContext();
@@ -291,11 +291,11 @@
     now = now + Duration(500);
     for (const Effect& effect : effects) {
       const IncarnationId id = std::get<PollRunner>(effect).target.incarnation;
-      looked_at_last = looked_at_last || id == last;
+      last_polled = last_polled || id == last;
       LosePoll(fleet.Find(id));
     }
   }
-  CHECK_TRUE(looked_at_last);
+  CHECK_TRUE(last_polled);
 }
 
 TEST(Fleet, StopIsSentOneAtATimeAndAgainWithoutEffect) {
