--- a/src/dispatch/advice_book.cc
+++ b/src/dispatch/ticket_cache.cc
@@ -4,10 +4,10 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#include <utility>
-
 #include "dispatch/ticket_cache.h"
 
+#include <utility>
+
 namespace limeledge::dispatch {
 
 std::string TicketCache::TicketFor(const StepName& step,
