--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -391,7 +391,7 @@
     seat.suspect = now < runner->suspect_until;
     seat.may_fail_immediately = runner->MayFailAtOnce(now);
     seat.tried = runner->IsTried();
-    seat.fillers = runner->CountSharing(Sharing::kFills);
+    seat.fillers = runner->CountSharing(Sharing::kBestEffort);
     seat.serving = runner->CountSharing(Sharing::kServes);
     for (const auto& [name, run] : runner->runs()) {
       if (run.stopping) seat.releasing += run.need;
--- a/src/dispatch/job_spec.h
+++ b/src/dispatch/job_spec.h
@@ -53,7 +53,7 @@
   /// Takes what it asked for.
   kNone,
   /// Takes only what the others leave unused.
-  kFills,
+  kBestEffort,
   /// Serves users of its own, within a bound on the tail of answer times.
   kServes,
 };
@@ -61,8 +61,8 @@
 /// The other kind of task that must not be beside one of this kind; `kNone` if
 /// any may be.
 inline Sharing ConflictingSharing(Sharing sharing) {
-  if (sharing == Sharing::kFills) return Sharing::kServes;
-  return sharing == Sharing::kServes ? Sharing::kFills : Sharing::kNone;
+  if (sharing == Sharing::kBestEffort) return Sharing::kServes;
+  return sharing == Sharing::kServes ? Sharing::kBestEffort : Sharing::kNone;
 }
 
 /// Tasks of one shape.
@@ -102,7 +102,7 @@
   /// Whether its runs may be stopped so that others have their room.
   bool preemptible() const { return !long_running && !limits_unavailability(); }
   Sharing sharing() const {
-    if (filler) return Sharing::kFills;
+    if (filler) return Sharing::kBestEffort;
     return tail_target > Duration(0) ? Sharing::kServes : Sharing::kNone;
   }
   /// What a task takes of a runner's room: of the processors, a filler takes
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -48,7 +48,7 @@
   int serving = 0;
 
   int CountSharing(Sharing sharing) const {
-    if (sharing == Sharing::kFills) return fillers;
+    if (sharing == Sharing::kBestEffort) return fillers;
     return sharing == Sharing::kServes ? serving : 0;
   }
 };
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -233,7 +233,7 @@
 bool Planner::Pass::ListFillers(const Candidate& seat,
                                 std::vector<TaskName>* fillers) {
   for (const auto& [name, run] : seat.runner->runs()) {
-    if (run.sharing != Sharing::kFills || run.stopping) continue;
+    if (run.sharing != Sharing::kBestEffort || run.stopping) continue;
     if (displaced_.count(name) != 0) continue;
     const Job* job = jobs_.Find(name.job);
     const bool may_stop =
