--- a/src/dispatch/desk.h
+++ b/src/dispatch/desk.h
@@ -18,7 +18,7 @@
 namespace limeledge::dispatch {
 
 /// Bounds on a caller's call.
-struct DeskOptions {
+struct FrontEndOptions {
   /// A call without an answer is sent again while this much is left of the
   /// caller's time: the store's usual answer, many times over.
   Duration least_try{100};
@@ -39,7 +39,7 @@
 class FrontEnd {
  public:
   /// `patience` outlives this object.
-  FrontEnd(DeskOptions options, const StorePatience* patience)
+  FrontEnd(FrontEndOptions options, const StorePatience* patience)
       : options_(options), patience_(patience) {}
 
   /// Begins a call, or answers it at once. `store_answers`: false when the
@@ -117,7 +117,7 @@
               const std::string& message = "", const std::string& state = "",
               std::int64_t waiting = -1);
 
-  DeskOptions options_;
+  FrontEndOptions options_;
   const StorePatience* patience_;
   StoreLoss loss_ = StoreLoss::kUnknown;
   std::map<Ticket, Pending> calls_;
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -29,7 +29,7 @@
   std::string name;
   LeadershipOptions leadership;
   SchedulerOptions scheduler;
-  DeskOptions desk;
+  FrontEndOptions desk;
   CatalogWatcherOptions catalog;
   PeerCheckOptions peers;
   /// Callers are served for this long after a stop was asked for: until the
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -14,7 +14,7 @@
 // A call that was taken up while the store seemed well.
 TEST_GROUP(FrontEnd) {
   StorePatience patience;
-  FrontEnd desk{DeskOptions(), &patience};
+  FrontEnd desk{FrontEndOptions(), &patience};
   Catalog catalog = emulator::MakeCatalog();
   Ticket tickets;
   Effects effects;
@@ -99,7 +99,7 @@
   LONGS_EQUAL(0, Newest<RespondToCall>()->retry_after.value().ms());
   desk.NoteStoreLoss(StoreLoss::kEverywhere);
   Begin(CallKind::kSubmit, false);
-  LONGS_EQUAL(DeskOptions().retry_after.ms(),
+  LONGS_EQUAL(FrontEndOptions().retry_after.ms(),
               Newest<RespondToCall>()->retry_after.value().ms());
 }
 
