--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -313,7 +313,7 @@
     answer.outcome = OrderOutcome::kFenced;
     return answer;
   }
-  if (!first_look_at_.has_value()) first_look_at_ = now_;
+  if (!first_poll_at_.has_value()) first_poll_at_ = now_;
   if (poll.until_ms > 0) Grant(poll.until_ms);
   ForgetEnds(poll.acknowledged_end);
   const std::size_t count = std::min(ended_.size(), kEndsAtOnce);
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -88,7 +88,7 @@
   dispatch::RunnerPolled Poll(const dispatch::PollRunner& poll);
   /// True if this life was first looked at longer ago than `time`.
   bool KnownFor(Duration time) const {
-    return first_look_at_.has_value() && now_ - *first_look_at_ > time;
+    return first_poll_at_.has_value() && now_ - *first_poll_at_ > time;
   }
   /// True if a look that waits for an end would be answered now.
   bool HasNewEnds(std::int64_t acknowledged) const;
@@ -161,7 +161,7 @@
   GangBoard* board_;
   TimePoint began_;
   TimePoint now_;
-  std::optional<TimePoint> first_look_at_;
+  std::optional<TimePoint> first_poll_at_;
   Epoch fence_;
   std::int64_t lease_until_ms_ = 0;
   double slowness_ = 1;
