--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -392,7 +392,7 @@
     seat.may_fail_immediately = runner->MayFailAtOnce(now);
     seat.tried = runner->IsTried();
     seat.fillers = runner->CountSharing(Sharing::kBestEffort);
-    seat.serving = runner->CountSharing(Sharing::kServes);
+    seat.serving = runner->CountSharing(Sharing::kLatencySensitive);
     for (const auto& [name, run] : runner->runs()) {
       if (run.stopping) seat.releasing += run.need;
       if (IsOnProbation(run, options_.probation, now)) seat.on_probation = true;
--- a/src/dispatch/job_spec.h
+++ b/src/dispatch/job_spec.h
@@ -55,14 +55,15 @@
   /// Takes only what the others leave unused.
   kBestEffort,
   /// Serves users of its own, within a bound on the tail of answer times.
-  kServes,
+  kLatencySensitive,
 };
 
 /// The other kind of task that must not be beside one of this kind; `kNone` if
 /// any may be.
 inline Sharing ConflictingSharing(Sharing sharing) {
-  if (sharing == Sharing::kBestEffort) return Sharing::kServes;
-  return sharing == Sharing::kServes ? Sharing::kBestEffort : Sharing::kNone;
+  if (sharing == Sharing::kBestEffort) return Sharing::kLatencySensitive;
+  return sharing == Sharing::kLatencySensitive ? Sharing::kBestEffort
+                                               : Sharing::kNone;
 }
 
 /// Tasks of one shape.
@@ -103,7 +104,8 @@
   bool preemptible() const { return !long_running && !limits_unavailability(); }
   Sharing sharing() const {
     if (filler) return Sharing::kBestEffort;
-    return tail_target > Duration(0) ? Sharing::kServes : Sharing::kNone;
+    return tail_target > Duration(0) ? Sharing::kLatencySensitive
+                                     : Sharing::kNone;
   }
   /// What a task takes of a runner's room: of the processors, a filler takes
   /// nothing that others could have.
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -49,7 +49,7 @@
 
   int CountSharing(Sharing sharing) const {
     if (sharing == Sharing::kBestEffort) return fillers;
-    return sharing == Sharing::kServes ? serving : 0;
+    return sharing == Sharing::kLatencySensitive ? serving : 0;
   }
 };
 
--- a/src/dispatch/planner_room.cc
+++ b/src/dispatch/planner_room.cc
@@ -42,7 +42,7 @@
   if (request.allowed != nullptr && request.allowed->empty()) {
     return WaitReason::kNoTickets;
   }
-  if (unit.spec->sharing() == Sharing::kServes) {
+  if (unit.spec->sharing() == Sharing::kLatencySensitive) {
     return ClearOfFillers(unit, request);
   }
   WaitReason reason = WaitReason::kNoRoom;
