--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -25,7 +25,7 @@
 Node::Node(NodeOptions options)
     : options_(std::move(options)),
       leadership_(options_.leadership, options_.name, &patience_),
-      desk_(options_.desk, &patience_),
+      front_end_(options_.desk, &patience_),
       peers_(options_.peers, options_.instance, options_.peer_address,
              &patience_),
       catalog_(options_.catalog) {}
@@ -51,9 +51,9 @@
   }
   UpdateReady(ctx);
   peers_.Work(ctx, StoreAnswers());
-  desk_.NoteStoreLoss(peers_.loss());
+  front_end_.NoteStoreLoss(peers_.loss());
   const bool lingers = ctx.now() - stop_asked_at_ < options_.linger;
-  const bool handed_over = scheduler_ == nullptr && desk_.idle();
+  const bool handed_over = scheduler_ == nullptr && front_end_.idle();
   const bool must_go = ctx.now() - stop_asked_at_ >= options_.longest_stop;
   const bool done = stopping_ && !lingers && (handed_over || must_go);
   if (done && !exited_) {
@@ -123,8 +123,8 @@
 
 void Node::Handle(Context& ctx, const CommitCompleted& event) {
   NoteStoreAnswer(event.ticket, event.outcome);
-  if (desk_.Owns(event.ticket)) {
-    desk_.Handle(ctx, event, StoreAnswers());
+  if (front_end_.Owns(event.ticket)) {
+    front_end_.Handle(ctx, event, StoreAnswers());
   } else if (scheduler_ != nullptr && scheduler_->Owns(event.ticket)) {
     Obey(ctx, scheduler_->Handle(ctx, event));
   } else if (scheduler_ == nullptr && leadership_.Owns(event.ticket)) {
@@ -137,8 +137,8 @@
 
 void Node::Handle(Context& ctx, const ReadCompleted& event) {
   NoteStoreAnswer(event.ticket, event.outcome);
-  if (desk_.Owns(event.ticket)) {
-    desk_.Handle(ctx, event, StoreAnswers());
+  if (front_end_.Owns(event.ticket)) {
+    front_end_.Handle(ctx, event, StoreAnswers());
   } else if (scheduler_ != nullptr && scheduler_->Owns(event.ticket)) {
     scheduler_->Handle(ctx, event);
   } else if (scheduler_ == nullptr && leadership_.Owns(event.ticket)) {
@@ -187,8 +187,8 @@
 }
 
 void Node::Handle(Context& ctx, const CallReceived& event) {
-  desk_.Handle(ctx, event, catalog_.catalog(), catalog_.confirmed_at(),
-               StoreAnswers());
+  front_end_.Handle(ctx, event, catalog_.catalog(), catalog_.confirmed_at(),
+                    StoreAnswers());
 }
 
 void Node::Handle(Context& ctx, const StopAsked&) {
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -109,7 +109,7 @@
   Ticket tickets_;
   StorePatience patience_;
   Leadership leadership_;
-  FrontEnd desk_;
+  FrontEnd front_end_;
   PeerCheck peers_;
   std::unique_ptr<Scheduler> scheduler_;
   CatalogWatcher catalog_;
