--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -71,7 +71,7 @@
   /// Runners that are looked at for the first time at once: a new scheduler
   /// that opened hundreds of connections together would not come to renew its
   /// own lease on a small machine.
-  int first_looks = 24;
+  int first_polls = 24;
   /// A new scheduler waits this long for first answers before it counts on the
   /// room that it sees: many times what 350 runners take.
   Duration first_answers{500};
@@ -205,7 +205,7 @@
   void LookAt(Context& ctx, Runner* runner, Epoch epoch, bool may_renew,
               bool all_runs_known);
   bool MayLookForTheFirstTime() const {
-    return first_looks_ < options_.first_looks;
+    return first_looks_ < options_.first_polls;
   }
   bool MayWork(const Runner& runner, TimePoint now) const;
   /// When the runner's next look is due; `kNever` while one is under way.
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -161,7 +161,7 @@
 TEST(Fleet, FirstLooksAreSpreadAndTheRestWaitsForAnswers) {
   RunnersListed listed;
   listed.ok = true;
-  const int all = FleetOptions().first_looks + 5;
+  const int all = FleetOptions().first_polls + 5;
   for (int i = 0; i < all; ++i) {
     RunnerInfo info;
     info.id = RunnerId("i-" + std::to_string(i));
@@ -172,7 +172,7 @@
   fleet.Handle(ctx, listed);
   Context first = NewContext();
   fleet.Poll(first, Epoch(1), true, true);
-  LONGS_EQUAL(FleetOptions().first_looks, effects.size());
+  LONGS_EQUAL(FleetOptions().first_polls, effects.size());
   CHECK_TRUE(fleet.next_at() > now);
   const auto* poll = std::get_if<PollRunner>(&effects.front());
   Runner* answered = fleet.Find(poll->target.incarnation);
