--- a/src/dispatch/job_spec.h
+++ b/src/dispatch/job_spec.h
@@ -92,7 +92,7 @@
   bool long_running = false;
   std::string image;
   /// Bound on the tail of the answer times of tasks that serve; 0 for none.
-  Duration tail_target;
+  Duration tail_latency_target;
   /// Takes only processor time that others leave unused.
   bool filler = false;
   /// Tasks that may be away at once by the system's doing; -1 for no limit.
@@ -104,8 +104,8 @@
   bool preemptible() const { return !long_running && !limits_unavailability(); }
   Sharing sharing() const {
     if (filler) return Sharing::kBestEffort;
-    return tail_target > Duration(0) ? Sharing::kLatencySensitive
-                                     : Sharing::kNone;
+    return tail_latency_target > Duration(0) ? Sharing::kLatencySensitive
+                                             : Sharing::kNone;
   }
   /// What a task takes of a runner's room: of the processors, a filler takes
   /// nothing that others could have.
--- a/src/dispatch/row_codec.cc
+++ b/src/dispatch/row_codec.cc
@@ -79,8 +79,8 @@
   if (step.speculative) json["speculative"] = true;
   if (step.long_running) json["long_running"] = true;
   if (!step.image.empty()) json["image"] = step.image;
-  if (step.tail_target.ms() > 0) {
-    json["tail_target_ms"] = Json::Int64(step.tail_target.ms());
+  if (step.tail_latency_target.ms() > 0) {
+    json["tail_target_ms"] = Json::Int64(step.tail_latency_target.ms());
   }
   if (step.filler) json["filler"] = true;
   if (step.max_unavailable >= 0) json["may_be_away"] = step.max_unavailable;
@@ -106,7 +106,7 @@
   step.speculative = json.get("speculative", false).asBool();
   step.long_running = json.get("long_running", false).asBool();
   step.image = json.get("image", "").asString();
-  step.tail_target = Duration(json.get("tail_target_ms", 0).asInt64());
+  step.tail_latency_target = Duration(json.get("tail_target_ms", 0).asInt64());
   step.filler = json.get("filler", false).asBool();
   step.max_unavailable = json.get("may_be_away", -1).asInt();
   return step;
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -183,7 +183,7 @@
   StepSpec filler = step;
   filler.filler = true;
   StepSpec serving = step;
-  serving.tail_target = Duration(50);
+  serving.tail_latency_target = Duration(50);
   CandidatePool seating = Seats();
   PlacementRequest request = Request(1);
   request.step = &filler;
--- a/test/planning-test.cc
+++ b/test/planning-test.cc
@@ -144,7 +144,7 @@
   Submit(filler);
   system.Run(Duration(1000));
   dispatch::StepSpec serving = Step(1, 1, Duration(500));
-  serving.tail_target = Duration(50);
+  serving.tail_latency_target = Duration(50);
   const JobId job = Submit(serving);
   system.Run(Duration(3000));
   LONGS_EQUAL(1, Watch(job).starts.size());
@@ -208,7 +208,7 @@
   Submit(filler);
   system.Run(Duration(1000));
   dispatch::StepSpec serving = Step(1, 1, Duration(500));
-  serving.tail_target = Duration(50);
+  serving.tail_latency_target = Duration(50);
   const JobId job = Submit(serving);
   system.Run(Duration(5000));
   CHECK_TRUE(Watch(job).starts.empty());
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -36,7 +36,7 @@
   STRCMP_EQUAL("a", step.required_label.c_str());
   STRCMP_EQUAL("r1-3", step.data_rack.c_str());
   LONGS_EQUAL(1, step.max_per_runner);
-  LONGS_EQUAL(40, step.tail_target.ms());
+  LONGS_EQUAL(40, step.tail_latency_target.ms());
   LONGS_EQUAL(2, step.max_unavailable);
   LONGS_EQUAL(0, job->steps[1].after.front());
   LONGS_EQUAL(3, job->recurrence.times);
