--- a/src/dispatch/desk.h
+++ b/src/dispatch/front_end.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_DISPATCH_DESK_H_
-#define LIMELEDGE_SRC_DISPATCH_DESK_H_
+#ifndef LIMELEDGE_SRC_DISPATCH_FRONT_END_H_
+#define LIMELEDGE_SRC_DISPATCH_FRONT_END_H_
 
 #include <map>
 #include <string>
@@ -125,4 +125,4 @@
 
 }  // namespace limeledge::dispatch
 
-#endif  // LIMELEDGE_SRC_DISPATCH_DESK_H_
+#endif  // LIMELEDGE_SRC_DISPATCH_FRONT_END_H_
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -14,9 +14,9 @@
 
 #include "dispatch/catalog.h"
 #include "dispatch/catalog_watcher.h"
-#include "dispatch/desk.h"
 #include "dispatch/effect.h"
 #include "dispatch/event.h"
+#include "dispatch/front_end.h"
 #include "dispatch/leadership.h"
 #include "dispatch/peer_check.h"
 #include "dispatch/scheduler.h"
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -4,9 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#include "dispatch/desk.h"
-
 #include "CppUTest/TestHarness.h"
+#include "dispatch/front_end.h"
 #include "emulator/emulated_catalog.h"
 
 namespace limeledge::dispatch {
