--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -277,7 +277,7 @@
   const TimePoint at = LookDueAt(*runner);
   if (at == kNever) return;
   filed.at = at;
-  (filed.first ? first_look_times_ : looks_).insert({at, runner});
+  (filed.first ? first_look_times_ : polls_).insert({at, runner});
 }
 
 void Fleet::Unschedule(Runner* runner) {
@@ -285,7 +285,7 @@
   if (filed.under_way_as_first) --first_looks_;
   filed.under_way_as_first = false;
   if (!filed.at.has_value()) return;
-  (filed.first ? first_look_times_ : looks_).erase({*filed.at, runner});
+  (filed.first ? first_look_times_ : polls_).erase({*filed.at, runner});
   filed.at.reset();
 }
 
@@ -297,7 +297,7 @@
 
 std::vector<Runner*> Fleet::DueRunners(TimePoint now) const {
   std::vector<Runner*> due;
-  for (const LookTimes* times : {&looks_, &first_look_times_}) {
+  for (const LookTimes* times : {&polls_, &first_look_times_}) {
     for (const auto& [at, runner] : *times) {
       if (at > now) break;
       due.push_back(runner);
@@ -357,7 +357,7 @@
 
 TimePoint Fleet::next_at() const {
   TimePoint next = next_list_at();
-  if (!looks_.empty()) next = std::min(next, looks_.begin()->first);
+  if (!polls_.empty()) next = std::min(next, polls_.begin()->first);
   if (!first_look_times_.empty() && MayLookForTheFirstTime()) {
     next = std::min(next, first_look_times_.begin()->first);
   }
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -227,7 +227,7 @@
   /// Of runners that were heard, and of those that were not. Each event would
   /// go through the whole fleet without them, which took a third of the
   /// scheduler's time at 1,100 runners.
-  LookTimes looks_;
+  LookTimes polls_;
   LookTimes first_look_times_;
   std::vector<Runner*> touched_;
   /// First looks that are under way.
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -40,7 +40,7 @@
 void EmulatedSystem::Perform(int node, const dispatch::PollRunner& poll) {
   CheckMayAct(node, "looks at a runner");
   const int incarnation = processes_[node].incarnation;
-  ++looks_;
+  ++polls_;
   if (Happens(faults_.polls_lost)) {
     LosePoll(node, incarnation, poll);
     return;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -143,7 +143,7 @@
   /// Transactions that nodes sent, refused ones included.
   int commits() const { return commits_; }
   /// Looks that nodes sent at runners, lost ones included.
-  int polls() const { return looks_; }
+  int polls() const { return polls_; }
   const ReducerUse& reducer_use() const { return reducer_use_; }
   const CrashCount& crashes() const { return crashes_; }
   /// The room of each runner as it begins.
@@ -342,7 +342,7 @@
   EmulatedStore store_;
   std::map<std::string, TimePoint> part_free_at_;
   int commits_ = 0;
-  int looks_ = 0;
+  int polls_ = 0;
   ReducerUse reducer_use_;
   CrashCount crashes_;
   RoomWatch rooms_;
