--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -125,7 +125,7 @@
     return step >= 0 && static_cast<std::size_t>(step) < spec_.steps.size();
   }
   /// The longest chain of estimates of steps, all of them or from `step` on.
-  Duration longest_chain() const { return longest_chain_; }
+  Duration critical_path() const { return longest_chain_; }
   Duration ChainFrom(int step) const { return chains_[step]; }
   /// Null when the name is not one of this job's.
   Task* Find(const TaskName& name);
--- a/src/dispatch/planner_steps.cc
+++ b/src/dispatch/planner_steps.cc
@@ -153,7 +153,7 @@
   const std::int64_t from =
       std::max(spec.accepted_wall_ms, occurrence.due_wall_ms);
   const std::int64_t chain =
-      times_.Expect(spec.queue, unit->job->longest_chain()).ms();
+      times_.Expect(spec.queue, unit->job->critical_path()).ms();
   const double stretched = unit->policy.stretch * static_cast<double>(chain);
   const std::int64_t objective =
       static_cast<std::int64_t>(stretched) + unit->policy.slack.ms();
