--- a/src/dispatch/desk.cc
+++ b/src/dispatch/front_end.cc
@@ -4,12 +4,13 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
+#include "dispatch/front_end.h"
+
 #include <algorithm>
 #include <utility>
 
 #include "absl/strings/ascii.h"
 #include "absl/strings/str_cat.h"
-#include "dispatch/front_end.h"
 #include "dispatch/row_codec.h"
 
 namespace limeledge::dispatch {
