--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -88,7 +88,7 @@
   return std::max(Duration(0), silent_since - *run.sent_at);
 }
 
-bool IsOfLifeBefore(const Runner& runner, const Run& run) {
+bool IsOfEarlierIncarnation(const Runner& runner, const Run& run) {
   return run.phase == RunPhase::kInherited && IsReported(run.stored_for) &&
          run.stored_for != runner.incarnation().start_time;
 }
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -168,7 +168,7 @@
 
 /// True if an earlier scheduler stored the run for another life of the runner.
 /// Safe from any thread.
-bool IsOfLifeBefore(const Runner& runner, const Run& run);
+bool IsOfEarlierIncarnation(const Runner& runner, const Run& run);
 
 /// True if the run's task may crash its runners, and the run was not well for
 /// `probation` yet. Safe from any thread.
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -155,7 +155,7 @@
   next->Add(name, run);
   Job* job = book_.Find(name.job);
   // The row of a run that is still to be judged goes on naming its life.
-  if (job == nullptr || IsOfLifeBefore(*next, run)) return;
+  if (job == nullptr || IsOfEarlierIncarnation(*next, run)) return;
   job->MoveRun(name, run.number, next->incarnation());
   Mark(name.job);
 }
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -51,7 +51,7 @@
 
 /// The life that the run was started on.
 IncarnationId LifeOf(const Runner& runner, const Run& run) {
-  const bool before = IsOfLifeBefore(runner, run);
+  const bool before = IsOfEarlierIncarnation(runner, run);
   return {runner.id(),
           before ? run.stored_for : runner.incarnation().start_time};
 }
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -194,7 +194,8 @@
         run.phase == RunPhase::kUnsure &&
         ctx.now() - run.answered_at < options_.late_order;
     if (may_still_come) continue;
-    (IsOfLifeBefore(*runner, run) ? of_life_before : lapsed).push_back(name);
+    (IsOfEarlierIncarnation(*runner, run) ? of_life_before : lapsed)
+        .push_back(name);
   }
   const std::size_t over = lapsed.size() + of_life_before.size();
   if (over == 0) return;
@@ -407,7 +408,7 @@
     if (may_still_come) {
       unsure.push_back(name);
     } else {
-      (IsOfLifeBefore(*runner, run) ? lost : lapsed).push_back(name);
+      (IsOfEarlierIncarnation(*runner, run) ? lost : lapsed).push_back(name);
     }
   }
   // An earlier life went with what an earlier scheduler started on it.
