--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -126,7 +126,7 @@
   }
   /// The longest chain of estimates of steps, all of them or from `step` on.
   Duration critical_path() const { return longest_chain_; }
-  Duration ChainFrom(int step) const { return chains_[step]; }
+  Duration CriticalPathFrom(int step) const { return chains_[step]; }
   /// Null when the name is not one of this job's.
   Task* Find(const TaskName& name);
 
--- a/src/dispatch/planner_steps.cc
+++ b/src/dispatch/planner_steps.cc
@@ -158,7 +158,8 @@
   const std::int64_t objective =
       static_cast<std::int64_t>(stretched) + unit->policy.slack.ms();
   unit->rank.deadline_wall_ms = from + objective;
-  const Duration left = times_.Expect(spec.queue, unit->job->ChainFrom(step));
+  const Duration left =
+      times_.Expect(spec.queue, unit->job->CriticalPathFrom(step));
   unit->latest_start_wall_ms = unit->rank.deadline_wall_ms - left.ms();
   unit->rank.outlook = OutlookOf(*unit, objective);
 }
