--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -25,7 +25,7 @@
 Node::Node(NodeOptions options)
     : options_(std::move(options)),
       leadership_(options_.leadership, options_.name, &patience_),
-      front_end_(options_.desk, &patience_),
+      front_end_(options_.front_end, &patience_),
       peers_(options_.peers, options_.instance, options_.peer_address,
              &patience_),
       catalog_(options_.catalog) {}
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -29,7 +29,7 @@
   std::string name;
   LeadershipOptions leadership;
   SchedulerOptions scheduler;
-  FrontEndOptions desk;
+  FrontEndOptions front_end;
   CatalogWatcherOptions catalog;
   PeerCheckOptions peers;
   /// Callers are served for this long after a stop was asked for: until the
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -13,7 +13,7 @@
 // A call that was taken up while the store seemed well.
 TEST_GROUP(FrontEnd) {
   StorePatience patience;
-  FrontEnd desk{FrontEndOptions(), &patience};
+  FrontEnd front_end{FrontEndOptions(), &patience};
   Catalog catalog = emulator::MakeCatalog();
   Ticket tickets;
   Effects effects;
@@ -32,7 +32,7 @@
     call.path = std::string(emulator::PrefixOf(1)) + "00000000000000aa";
     call.spec.steps.emplace_back();
     Context ctx = NewContext();
-    desk.Handle(ctx, call, &catalog, now, store_answers);
+    front_end.Handle(ctx, call, &catalog, now, store_answers);
   }
 
   /// The newest effect of a kind; null if there is none.
@@ -52,7 +52,7 @@
     lost.ticket = Newest<CommitRows>()->ticket;
     now = now + Duration(300);
     Context ctx = NewContext();
-    desk.Handle(ctx, lost, store_answers);
+    front_end.Handle(ctx, lost, store_answers);
   }
 
   /// The same for a reading.
@@ -61,7 +61,7 @@
     lost.ticket = Newest<ReadRows>()->ticket;
     now = now + Duration(300);
     Context ctx = NewContext();
-    desk.Handle(ctx, lost, store_answers);
+    front_end.Handle(ctx, lost, store_answers);
   }
 };
 
@@ -88,15 +88,15 @@
   // It may have been taken: no refusal would be true.
   CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kUnknown);
   CHECK_TRUE(Newest<RespondToCall>()->retry_after.value().ms() > 0);
-  CHECK_TRUE(desk.idle());
+  CHECK_TRUE(front_end.idle());
 }
 
 TEST(FrontEnd, CallerThatAnotherNodeWouldServeIsToldToComeBackAtOnce) {
-  desk.NoteStoreLoss(StoreLoss::kHereOnly);
+  front_end.NoteStoreLoss(StoreLoss::kHereOnly);
   Begin(CallKind::kSubmit, false);
   CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
   LONGS_EQUAL(0, Newest<RespondToCall>()->retry_after.value().ms());
-  desk.NoteStoreLoss(StoreLoss::kEverywhere);
+  front_end.NoteStoreLoss(StoreLoss::kEverywhere);
   Begin(CallKind::kSubmit, false);
   LONGS_EQUAL(FrontEndOptions().retry_after.ms(),
               Newest<RespondToCall>()->retry_after.value().ms());
@@ -107,7 +107,7 @@
   LoseRead(false);
   LoseRead(false);
   CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
-  CHECK_TRUE(desk.idle());
+  CHECK_TRUE(front_end.idle());
 }
 
 }  // namespace limeledge::dispatch
