--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -25,7 +25,8 @@
   return found == runners_.end() ? nullptr : Find(found->second->incarnation());
 }
 
-Runner* Fleet::BeginLife(Runner* before, StartTime start_time, TimePoint now) {
+Runner* Fleet::StartIncarnation(Runner* before, StartTime start_time,
+                                TimePoint now) {
   ForgetLooks(before);
   std::unique_ptr<Runner>& place = runners_.at(before->id());
   place = before->Next(start_time, now);
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -120,7 +120,7 @@
   void NoteHeard(Runner* runner, TimePoint now, std::int64_t clock_ms) const;
   /// Puts the life `start_time` in the place of `before`, which is over and
   /// must not be used any more.
-  Runner* BeginLife(Runner* before, StartTime start_time, TimePoint now);
+  Runner* StartIncarnation(Runner* before, StartTime start_time, TimePoint now);
 
   /// Reads the list of runners when that is due; waits as long for it as
   /// `patience` says.
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -284,7 +284,8 @@
                              const RunnerPolled& answer);
   /// Another life of the runner answered: ends the one before, which must not
   /// be used any more, and returns the next.
-  Runner* BeginLife(Context& ctx, Runner* before, const RunnerPolled& answer);
+  Runner* StartIncarnation(Context& ctx, Runner* before,
+                           const RunnerPolled& answer);
   /// Puts the next life in its place, with the runs that it may hold.
   Runner* CarryOver(Context& ctx, Runner* before,
                     const std::vector<TaskName>& moved,
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -45,8 +45,8 @@
   return may_come ? NextLifeRole::kLostAndMayCome : NextLifeRole::kLost;
 }
 
-Runner* Scheduler::BeginLife(Context& ctx, Runner* before,
-                             const RunnerPolled& answer) {
+Runner* Scheduler::StartIncarnation(Context& ctx, Runner* before,
+                                    const RunnerPolled& answer) {
   const IncarnationId old_life = before->incarnation();
   std::vector<TaskName> never;
   std::vector<TaskName> lost;
@@ -129,7 +129,7 @@
   const bool granted_now = before->poll_grants_lease;
   const TimePoint poll_sent_at = before->poll_sent_at;
   const PollNumber poll_number = before->poll_number;
-  Runner* next = fleet_.BeginLife(before, start_time, now);
+  Runner* next = fleet_.StartIncarnation(before, start_time, now);
   // The look that told of it is its first one.
   next->poll_sent_at = poll_sent_at;
   next->poll_number = poll_number;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -231,7 +231,7 @@
   }
   // What left after a life was heard is answered by that one or a later one.
   if (answer.start_time != runner->incarnation().start_time) {
-    runner = BeginLife(ctx, runner, answer);
+    runner = StartIncarnation(ctx, runner, answer);
   }
   if (!runner->reachable()) {
     ctx.Log(LogId::kRunnerHeard, {{"runner", runner->id().value()},
