--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -68,7 +68,7 @@
                     [phase](const Task& task) { return task.phase == phase; }));
 }
 
-Duration Step::UsualElsewhere(const IncarnationId& incarnation) const {
+Duration Step::MeanDurationElsewhere(const IncarnationId& incarnation) const {
   Duration sum;
   std::int64_t count = 0;
   for (const auto& [other, length] : seen_lengths) {
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -96,7 +96,7 @@
   int CountIn(TaskPhase phase) const;
   /// The mean length seen on other runners than that of `incarnation`; 0 for
   /// none.
-  Duration UsualElsewhere(const IncarnationId& incarnation) const;
+  Duration MeanDurationElsewhere(const IncarnationId& incarnation) const;
 };
 
 /// One occurrence of a job's steps.
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -39,7 +39,7 @@
 void Scheduler::JudgePace(Context& ctx, Runner* runner, Job* job,
                           const TaskName& name, const Run& run, double length) {
   Step& step = job->occurrences()[name.occurrence].steps[name.step];
-  const Duration elsewhere = step.UsualElsewhere(runner->incarnation());
+  const Duration elsewhere = step.MeanDurationElsewhere(runner->incarnation());
   const Duration seen(std::llround(length));
   if (elsewhere > Duration(0)) {
     runner->NoteUsualPace(length / static_cast<double>(elsewhere.ms()));
