--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -203,7 +203,7 @@
 };
 
 /// The process was asked to end.
-struct StopAsked {};
+struct ShutdownRequested {};
 
 /// Somebody wants to see this process's state.
 struct StateAsked {
@@ -218,7 +218,7 @@
     std::variant<TimerFired, CommitCompleted, ReadCompleted, ChangesReceived,
                  CatalogReceived, RunnersListed, RunnerPolled,
                  StartRunCompleted, StopRunCompleted, AdviceReceived,
-                 PeerReplied, CallReceived, StopAsked, SettingsReloaded,
+                 PeerReplied, CallReceived, ShutdownRequested, SettingsReloaded,
                  StateAsked>;
 
 struct Event {
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -191,7 +191,7 @@
                     StoreAnswers());
 }
 
-void Node::Handle(Context& ctx, const StopAsked&) {
+void Node::Handle(Context& ctx, const ShutdownRequested&) {
   if (stopping_) return;
   stopping_ = true;
   stop_asked_at_ = ctx.now();
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -90,7 +90,7 @@
   void Handle(Context& ctx, const AdviceReceived& event);
   void Handle(Context& ctx, const PeerReplied& event);
   void Handle(Context& ctx, const CallReceived& event);
-  void Handle(Context& ctx, const StopAsked& event);
+  void Handle(Context& ctx, const ShutdownRequested& event);
   void Handle(Context& ctx, const SettingsReloaded& event);
   void Handle(Context& ctx, const StateAsked& event);
 
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -140,7 +140,7 @@
 void EmulatedSystem::StopNode(int node) {
   if (processes_[node].node == nullptr) return;
   processes_[node].stopping = true;
-  Deliver(node, processes_[node].incarnation, dispatch::StopAsked());
+  Deliver(node, processes_[node].incarnation, dispatch::ShutdownRequested());
 }
 
 int EmulatedSystem::leader() const {
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -110,7 +110,7 @@
 
 TEST(Node, StopAskedHandsTheLeaseOverAtOnceAndExitsAfterTheLinger) {
   Lead();
-  const auto commits = Only<CommitRows>(Reduce(StopAsked()));
+  const auto commits = Only<CommitRows>(Reduce(ShutdownRequested()));
   LONGS_EQUAL(1, commits.size());
   const auto record =
       DecodeLeader(commits.front().transaction.puts.back().value);
@@ -130,7 +130,7 @@
 // its grace, with calls that it still had.
 TEST(Node, StopDuringAnOutageOfTheStoreEndsWithinTheGrace) {
   Lead();
-  const auto commits = Only<CommitRows>(Reduce(StopAsked()));
+  const auto commits = Only<CommitRows>(Reduce(ShutdownRequested()));
   CommitCompleted lost;
   lost.ticket = commits.front().ticket;
   lost.outcome = StoreOutcome::kUnknown;
