--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -89,8 +89,9 @@
 }
 
 bool IsOfEarlierIncarnation(const Runner& runner, const Run& run) {
-  return run.phase == RunPhase::kInherited && IsReported(run.stored_for) &&
-         run.stored_for != runner.incarnation().start_time;
+  return run.phase == RunPhase::kInherited &&
+         IsReported(run.stored_incarnation) &&
+         run.stored_incarnation != runner.incarnation().start_time;
 }
 
 bool IsOnProbation(const Run& run, Duration probation, TimePoint now) {
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -106,7 +106,7 @@
   int number = 0;
   /// Stored by an earlier scheduler: the life that it was started on, if it was
   /// told. An earlier life's run is over unless this one lists it.
-  StartTime stored_for;
+  StartTime stored_incarnation;
   Resources need;
   RunPhase phase = RunPhase::kPlanned;
   /// The run shall end; its stop was or is still to be sent.
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -112,7 +112,7 @@
         if (runner->runs().count(name) != 0) continue;
         Run run;
         run.number = task.run;
-        run.stored_for = task.incarnation.start_time;
+        run.stored_incarnation = task.incarnation.start_time;
         run.need = job->step_spec(name.step).room();
         run.sharing = job->step_spec(name.step).sharing();
         run.phase = RunPhase::kInherited;
@@ -123,7 +123,7 @@
         run.suspect = IsSuspect(task.losses);
         runner->Add(name, run);
         // Rows of versions that did not tell lives apart name none.
-        if (!IsReported(run.stored_for)) {
+        if (!IsReported(run.stored_incarnation)) {
           job->MoveRun(name, run.number, runner->incarnation());
         }
         if (runner->ended) gone.insert(runner);
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -53,7 +53,7 @@
 IncarnationId LifeOf(const Runner& runner, const Run& run) {
   const bool before = IsOfEarlierIncarnation(runner, run);
   return {runner.id(),
-          before ? run.stored_for : runner.incarnation().start_time};
+          before ? run.stored_incarnation : runner.incarnation().start_time};
 }
 
 /// "RUN@RUNNER" of each, for logs.
