--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -71,7 +71,7 @@
 Duration Step::MeanDurationElsewhere(const IncarnationId& incarnation) const {
   Duration sum;
   std::int64_t count = 0;
-  for (const auto& [other, length] : seen_lengths) {
+  for (const auto& [other, length] : observed_durations) {
     if (other.runner == incarnation.runner) continue;
     sum = sum + length;
     ++count;
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -91,7 +91,7 @@
   std::set<IncarnationId> failed_on;
   /// The shortest length that runs on each runner were seen to have: what is
   /// long everywhere is no runner's fault.
-  std::map<IncarnationId, Duration> seen_lengths;
+  std::map<IncarnationId, Duration> observed_durations;
 
   int CountIn(TaskPhase phase) const;
   /// The mean length seen on other runners than that of `incarnation`; 0 for
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -44,7 +44,7 @@
   if (elsewhere > Duration(0)) {
     runner->NoteUsualPace(length / static_cast<double>(elsewhere.ms()));
   }
-  Duration& shortest = step.seen_lengths[runner->incarnation()];
+  Duration& shortest = step.observed_durations[runner->incarnation()];
   shortest = shortest == Duration(0) ? seen : std::min(shortest, seen);
   const std::optional<double> factor =
       times_.UpperBoundFactor(job->spec().queue);
