--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -206,7 +206,7 @@
 struct ShutdownRequested {};
 
 /// Somebody wants to see this process's state.
-struct StateAsked {
+struct StateRequested {
   CallId call;
 };
 
@@ -219,7 +219,7 @@
                  CatalogReceived, RunnersListed, RunnerPolled,
                  StartRunCompleted, StopRunCompleted, AdviceReceived,
                  PeerReplied, CallReceived, ShutdownRequested, SettingsReloaded,
-                 StateAsked>;
+                 StateRequested>;
 
 struct Event {
   TimePoint now;
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -204,7 +204,7 @@
   ctx.Log(LogId::kSettingsReloaded, {});
 }
 
-void Node::Handle(Context& ctx, const StateAsked& event) {
+void Node::Handle(Context& ctx, const StateRequested& event) {
   Json::Value json;
   json["name"] = options_.name;
   json["leads"] = leads();
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -92,7 +92,7 @@
   void Handle(Context& ctx, const CallReceived& event);
   void Handle(Context& ctx, const ShutdownRequested& event);
   void Handle(Context& ctx, const SettingsReloaded& event);
-  void Handle(Context& ctx, const StateAsked& event);
+  void Handle(Context& ctx, const StateRequested& event);
 
   void Lead(Context& ctx, const Leadership::Claimed& claimed);
   void StepDown(Context& ctx, const char* reason);
