--- a/src/dispatch/catalog.h
+++ b/src/dispatch/catalog.h
@@ -72,7 +72,7 @@
   std::map<std::string, WorkspaceId> workspace_by_key;
   /// Halls whose runners are to be given nothing. They change without a new
   /// version.
-  std::set<HallId> emptied_halls;
+  std::set<HallId> drained_halls;
 
   /// The queue with the longest prefix that `path` begins with on `host`; null
   /// if there is none.
--- a/src/dispatch/catalog_watcher.cc
+++ b/src/dispatch/catalog_watcher.cc
@@ -54,7 +54,7 @@
       !catalog_.has_value() || answer.catalog->version > catalog_->version;
   if (!newer) return;
   catalog_ = answer.catalog;
-  catalog_->emptied_halls = emptied_halls_;
+  catalog_->drained_halls = emptied_halls_;
   ctx.Log(LogId::kCatalogInForce,
           {{"version", std::to_string(catalog_->version.value())},
            {"queues", std::to_string(catalog_->queues.size())}});
@@ -71,7 +71,7 @@
     }
   }
   if (emptied_halls_ == before) return;
-  if (catalog_.has_value()) catalog_->emptied_halls = emptied_halls_;
+  if (catalog_.has_value()) catalog_->drained_halls = emptied_halls_;
   std::string halls;
   for (const HallId& hall : emptied_halls_) {
     absl::StrAppend(&halls, halls.empty() ? "" : " ", hall.value());
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -380,11 +380,11 @@
 }
 
 std::vector<Candidate> Fleet::Seats(
-    TimePoint now, const std::set<HallId>& emptied_halls) const {
+    TimePoint now, const std::set<HallId>& drained_halls) const {
   std::vector<Candidate> seats;
   for (const auto& [id, runner] : runners_) {
     if (!MayWork(*runner, now)) continue;
-    if (emptied_halls.count(runner->info().hall) != 0) continue;
+    if (drained_halls.count(runner->info().hall) != 0) continue;
     Candidate seat;
     seat.runner = runner.get();
     seat.rack = runner->rack();
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -146,7 +146,7 @@
   /// Runners that may be given work now, but for those in halls that are to be
   /// emptied.
   std::vector<Candidate> Seats(
-      TimePoint now, const std::set<HallId>& emptied_halls = {}) const;
+      TimePoint now, const std::set<HallId>& drained_halls = {}) const;
   /// False while a new scheduler waits for its first answers from runners: the
   /// room that it sees then is only a part of what there is.
   bool KnowsFreeRoom(TimePoint now) const;
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -135,7 +135,7 @@
   if (GangIsOver(*job, name, run.number)) return StartObstacle::kGangOver;
   if (releasing_) return StartObstacle::kReleasing;
   if (runner.drains_since().has_value()) return StartObstacle::kRunnerLeaves;
-  if (catalog_->emptied_halls.count(runner.info().hall) != 0) {
+  if (catalog_->drained_halls.count(runner.info().hall) != 0) {
     return StartObstacle::kHallEmptied;
   }
   if (!runner.reachable()) return StartObstacle::kRunnerSilent;
