--- a/src/dispatch/catalog.h
+++ b/src/dispatch/catalog.h
@@ -52,7 +52,7 @@
 /// What a group of runners does.
 struct Service {
   /// The service's runners refuse what does not fit by themselves.
-  bool guards_capacity = false;
+  bool enforces_capacity = false;
 };
 
 /// A workspace and the accelerators that are its own at any time.
--- a/src/dispatch/planner_steps.cc
+++ b/src/dispatch/planner_steps.cc
@@ -108,7 +108,7 @@
 bool Planner::Pass::MayOverfill(const ServiceId& service) const {
   if (jobs_.KnowsAll() && knows_rooms_) return false;
   const auto found = catalog_.services.find(service);
-  return found == catalog_.services.end() || !found->second.guards_capacity;
+  return found == catalog_.services.end() || !found->second.enforces_capacity;
 }
 
 void Planner::Pass::CollectStep(Job* job, int number, int index) {
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -381,7 +381,8 @@
 
 bool Scheduler::GuardsRoom(const Runner& runner) const {
   const auto service = catalog_->services.find(runner.info().service);
-  return service != catalog_->services.end() && service->second.guards_capacity;
+  return service != catalog_->services.end() &&
+         service->second.enforces_capacity;
 }
 
 void Scheduler::ForgetUnwanted(Runner* runner,
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -41,9 +41,9 @@
       catalog_(MakeCatalog(options.attempts)),
       oracle_(options.attempts, CancelBoundsFor(options.bounds)) {
   for (auto& [id, service] : catalog_.services) {
-    service.guards_capacity = options.guards_capacity;
+    service.enforces_capacity = options.enforces_capacity;
   }
-  options_.bounds.guards_room = options.guards_capacity;
+  options_.bounds.guards_room = options.enforces_capacity;
   for (int i = 0; i < options_.runners; ++i) AddRunner(i, 1);
   processes_.resize(options_.nodes);
   for (int i = 0; i < options_.nodes; ++i) StartNode(i);
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -39,7 +39,7 @@
   /// Attempts that queues give a task.
   int attempts = kMaxAttempts;
   /// What the catalog says, and what runners do.
-  bool guards_capacity = true;
+  bool enforces_capacity = true;
   /// A room that has shrunk counts for starts so much later.
   Duration room_notice{4500};
   /// Of the scheduler of every node.
--- a/test/room-fuzz-test.cc
+++ b/test/room-fuzz-test.cc
@@ -59,7 +59,7 @@
   static SystemOptions OptionsFor(int seed) {
     SystemOptions options;
     options.seed = static_cast<std::uint64_t>(seed);
-    options.guards_capacity = false;
+    options.enforces_capacity = false;
     // Few runners, so that many starts wait for their turn at each.
     options.runners = 3;
     return options;
--- a/test/room-test.cc
+++ b/test/room-test.cc
@@ -25,7 +25,7 @@
   const RunnerId only{"i-0-1"};
 
   RoomFixture() {
-    options.guards_capacity = false;
+    options.enforces_capacity = false;
     options.runners = 1;
     options.planner.urgent_share = 0;
   }
--- a/test/take-over-test.cc
+++ b/test/take-over-test.cc
@@ -153,7 +153,7 @@
 // beside those that are not known yet.
 TEST(TakeOver, UnguardedRunnersGetNothingWhileRunsAreNotKnown) {
   SystemOptions options;
-  options.guards_capacity = false;
+  options.enforces_capacity = false;
   EmulatedSystem open(options);
   open.Run(Duration(3000));
   const std::string away = dispatch::AllJobPartitions()[0];
