--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -75,7 +75,7 @@
 struct RunnersListed {
   bool ok = false;
   /// Runners that are not named are not listed; else they are as they were.
-  bool whole = true;
+  bool snapshot = true;
   /// The list as of this revision, at least.
   Revision newest;
   std::vector<RunnerInfo> runners;
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -75,8 +75,8 @@
   if (ctx.now() >= next_whole_list_at_) list_revision_ = Revision();
   ListRunners list;
   list.after = list_revision_;
-  const bool whole = list_revision_ == Revision();
-  if (!whole) list.wait = options_.list_interval;
+  const bool snapshot = list_revision_ == Revision();
+  if (!snapshot) list.wait = options_.list_interval;
   list.timeout = patience.For(list_misses_) + list.wait;
   ctx.Emit(list);
 }
@@ -120,7 +120,7 @@
   list_misses_ = 0;
   next_list_at_ = now + options_.list_pause;
   list_revision_ = answer.newest;
-  if (answer.whole) next_whole_list_at_ = now + options_.whole_list_interval;
+  if (answer.snapshot) next_whole_list_at_ = now + options_.whole_list_interval;
   const bool was_away = now - last_listed_at_ > options_.longest_list_gap;
   if (was_away) store_back_at_ = now;
   last_listed_at_ = now;
@@ -130,7 +130,7 @@
 std::set<RunnerId> Fleet::GoneBy(const RunnersListed& answer) const {
   std::set<RunnerId> gone(answer.gone.begin(), answer.gone.end());
   gone.insert(answer.unreadable.begin(), answer.unreadable.end());
-  if (answer.whole) {
+  if (answer.snapshot) {
     for (const auto& [id, runner] : runners_) gone.insert(id);
   }
   for (const RunnerInfo& info : answer.runners) gone.erase(info.id);
@@ -139,7 +139,7 @@
 
 void Fleet::NoteUnreadable(Context& ctx, const RunnersListed& answer) {
   const std::set<RunnerId> before = unreadable_;
-  if (answer.whole) unreadable_.clear();
+  if (answer.snapshot) unreadable_.clear();
   for (const RunnerInfo& info : answer.runners) unreadable_.erase(info.id);
   for (const RunnerId& id : answer.gone) unreadable_.erase(id);
   for (const RunnerId& id : answer.unreadable) {
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -191,13 +191,13 @@
   AnswerCatalog(node, await.wait, false);
 }
 
-void EmulatedSystem::AnswerCatalog(int node, Duration after, bool whole) {
+void EmulatedSystem::AnswerCatalog(int node, Duration after, bool snapshot) {
   const int incarnation = processes_[node].incarnation;
-  At(now_ + after, [this, node, incarnation, whole] {
+  At(now_ + after, [this, node, incarnation, snapshot] {
     const bool away = IsCutOffFromStore(node);
     dispatch::CatalogReceived answer;
     answer.outcome = away ? StoreOutcome::kNotApplied : StoreOutcome::kDone;
-    if (!away && whole) answer.catalog = catalog_;
+    if (!away && snapshot) answer.catalog = catalog_;
     answer.names_all_halls = !away;
     for (const auto& [hall, since] : emptied_halls_) answer.halls[hall] = true;
     Deliver(node, incarnation, answer);
@@ -275,7 +275,7 @@
     const ListSeen& seen) const {
   dispatch::RunnersListed changes;
   changes.ok = true;
-  changes.whole = false;
+  changes.snapshot = false;
   changes.newest = seen.revision.Next();
   std::map<RunnerId, ListSeen::Entry> unseen = seen.entries;
   for (const dispatch::RunnerInfo& info : ListOfRunners().runners) {
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -273,7 +273,7 @@
   void Follow(int node, int incarnation, const dispatch::AwaitChanges& effect,
               TimePoint until);
   /// The whole catalog, or the news that nothing changed.
-  void AnswerCatalog(int node, Duration after, bool whole);
+  void AnswerCatalog(int node, Duration after, bool snapshot);
   void AnswerPoll(int node, int incarnation, const dispatch::PollRunner& poll,
                   TimePoint until, const dispatch::IncarnationId& waits_at);
   /// The look gets no answer.
--- a/test/runner-list-test.cc
+++ b/test/runner-list-test.cc
@@ -22,10 +22,10 @@
 
   void setup() override {
     CHECK_TRUE(Asked().has_value());
-    RunnersListed whole;
-    whole.runners = {Entry("a"), Entry("b")};
-    whole.newest = Revision(7);
-    Tell(whole);
+    RunnersListed snapshot;
+    snapshot.runners = {Entry("a"), Entry("b")};
+    snapshot.newest = Revision(7);
+    Tell(snapshot);
   }
 
   static RunnerInfo Entry(const char* id) {
@@ -59,7 +59,7 @@
 
   static RunnersListed Changes() {
     RunnersListed changes;
-    changes.whole = false;
+    changes.snapshot = false;
     changes.newest = Revision(9);
     return changes;
   }
