--- a/src/dispatch/run_loss.cc
+++ b/src/dispatch/run_loss.cc
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-LossVerdict JudgeLosses(const std::vector<RunLoss>& losses, int newest_run,
-                        const LossRules& rules) {
+LossVerdict EvaluateLosses(const std::vector<RunLoss>& losses, int newest_run,
+                           const LossRules& rules) {
   int crashes = 0;
   int suspicious = 0;
   std::optional<int> last_allowed_run;
--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -87,8 +87,8 @@
 
 /// Judges a task by what it lost so far, in rising order of runs; `newest_run`
 /// is the last that was decided on. Thread-safe.
-LossVerdict JudgeLosses(const std::vector<RunLoss>& losses, int newest_run,
-                        const LossRules& rules);
+LossVerdict EvaluateLosses(const std::vector<RunLoss>& losses, int newest_run,
+                           const LossRules& rules);
 
 /// True if the task may be what crashed a runner. Thread-safe.
 bool IsSuspect(const std::vector<RunLoss>& losses);
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -201,7 +201,7 @@
   if (job == nullptr) return;
   Task* task = job->Find(name);
   const LossVerdict verdict =
-      JudgeLosses(task->losses, task->run, options_.losses);
+      EvaluateLosses(task->losses, task->run, options_.losses);
   task->held_back = verdict == LossVerdict::kMustWait;
   if (verdict != LossVerdict::kGivenUp || !job->FailWaitingTask(name)) return;
   ctx.Log(LogId::kTaskGivenUp, {{"job", name.job.value()},
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -126,7 +126,7 @@
   const Task& task =
       job->occurrences()[name.occurrence].steps[name.step].tasks[name.index];
   // The run itself is no start in vain yet.
-  if (JudgeLosses(task.losses, run.number - 1, options_.losses) !=
+  if (EvaluateLosses(task.losses, run.number - 1, options_.losses) !=
       LossVerdict::kMayStart) {
     return StartObstacle::kTaskCrashesRunners;
   }
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -38,7 +38,7 @@
   void CheckVerdict(LossVerdict expected, const std::vector<RunLoss>& losses,
                     int newest_run = 0) {
     LONGS_EQUAL(static_cast<int>(expected),
-                static_cast<int>(JudgeLosses(losses, newest_run, rules)));
+                static_cast<int>(EvaluateLosses(losses, newest_run, rules)));
   }
 };
 
