--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -77,8 +77,7 @@
 std::vector<IncarnationId> LossTracker::Overdue(TimePoint now) const {
   std::vector<IncarnationId> overdue;
   for (const auto& [incarnation, open] : open_) {
-    if (now - open.since >= rules_.longest_doubt)
-      overdue.push_back(incarnation);
+    if (now - open.since >= rules_.fate_timeout) overdue.push_back(incarnation);
   }
   return overdue;
 }
--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -71,7 +71,7 @@
   int unexplained_runners = 2;
   /// How long it is waited for what became of a silent runner. Longer than an
   /// entry takes to lapse, and a runner to come back after a crash.
-  Duration longest_doubt{20000};
+  Duration fate_timeout{20000};
   /// A suspect task is told from others by running alone for so long: twice the
   /// time after which a crash is no longer suspicious.
   Duration probation{4000};
