--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -68,7 +68,7 @@
   Duration explained{250};
   /// So many crashes at the same moment that no start explains tell of a cause
   /// from outside, such as power that is lost.
-  int unexplained_runners = 2;
+  int min_unexplained_crashes = 2;
   /// How long it is waited for what became of a silent runner. Longer than an
   /// entry takes to lapse, and a runner to come back after a crash.
   Duration fate_timeout{20000};
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -160,7 +160,7 @@
     if (!same_moment || !known.insert(other->incarnation()).second) continue;
     lost.push_back(DescribeLost(*other, *since, rules));
   }
-  return CountUnexplained(lost) >= rules.unexplained_runners;
+  return CountUnexplained(lost) >= rules.min_unexplained_crashes;
 }
 
 void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& incarnation,
