--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -21,12 +21,13 @@
 int CountUnexplained(const std::vector<LostRunner>& lost) {
   std::map<JobId, int> runners_of;
   for (const LostRunner& runner : lost) {
-    for (const JobId& job : runner.young_jobs) ++runners_of[job];
+    for (const JobId& job : runner.recently_started_jobs) ++runners_of[job];
   }
   return static_cast<int>(std::count_if(
       lost.begin(), lost.end(), [&runners_of](const LostRunner& runner) {
         const bool shares_a_job = std::any_of(
-            runner.young_jobs.begin(), runner.young_jobs.end(),
+            runner.recently_started_jobs.begin(),
+            runner.recently_started_jobs.end(),
             [&](const JobId& job) { return runners_of.at(job) > 1; });
         return !runner.explained && !shares_a_job;
       }));
--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -27,7 +27,7 @@
   /// A start right before it fell silent explains its end.
   bool explained = false;
   /// Jobs of which a run had begun there soon before.
-  std::set<JobId> young_jobs;
+  std::set<JobId> recently_started_jobs;
 };
 
 /// Counts runners of one moment whose end nothing explains: no start right
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -30,7 +30,7 @@
   for (const auto& [name, run] : runner.runs()) {
     const std::optional<Duration> lasted = TimeUntilSilence(run, silent_since);
     if (!lasted.has_value() || *lasted > rules.soon) continue;
-    lost.young_jobs.insert(name.job);
+    lost.recently_started_jobs.insert(name.job);
     lost.explained = lost.explained || *lasted <= rules.explained;
   }
   return lost;
