--- a/src/dispatch/store_patience.h
+++ b/src/dispatch/store_patience.h
@@ -15,7 +15,7 @@
 
 namespace limeledge::dispatch {
 
-struct StorePatienceOptions {
+struct StoreTimeoutOptions {
   /// A call without an answer after this many times what answers usually take
   /// is taken for lost: its connection went silent, or its answer did.
   int times_usual = 10;
@@ -40,7 +40,7 @@
 /// Thread safety: none; use it from one thread.
 class StorePatience {
  public:
-  explicit StorePatience(StorePatienceOptions options = {})
+  explicit StorePatience(StoreTimeoutOptions options = {})
       : options_(options) {}
 
   /// Notes that a call was sent.
@@ -59,7 +59,7 @@
   Duration For(int tries = 0) const;
 
  private:
-  StorePatienceOptions options_;
+  StoreTimeoutOptions options_;
   std::map<Ticket, TimePoint> sent_;
   Duration usual_;
   TimePoint answered_at_;
