--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -80,7 +80,7 @@
   Revision newest;
   std::vector<RunnerInfo> runners;
   /// With changes: runners whose entries are gone.
-  std::vector<RunnerId> gone;
+  std::vector<RunnerId> removed;
   /// Runners whose entries could not be read; they get no work.
   std::vector<RunnerId> unreadable;
 };
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -103,12 +103,12 @@
   }
   NoteListRead(ctx.now(), answer);
   rooms_read_at_ = is_old ? list_sent_at_ : ctx.now();
-  const std::set<RunnerId> gone = GoneBy(answer);
+  const std::set<RunnerId> removed = GoneBy(answer);
   NoteUnreadable(ctx, answer);
   const std::size_t known_before = runners_.size();
   for (const RunnerInfo& info : answer.runners) TakeEntry(ctx, info);
   for (auto& [id, runner] : runners_) {
-    const bool missing = !runner->listed() || gone.count(id) != 0;
+    const bool missing = !runner->listed() || removed.count(id) != 0;
     if (missing) Unlist(ctx, runner.get());
   }
   FadeSlowness(ctx.now());
@@ -128,20 +128,20 @@
 }
 
 std::set<RunnerId> Fleet::GoneBy(const RunnersListed& answer) const {
-  std::set<RunnerId> gone(answer.gone.begin(), answer.gone.end());
-  gone.insert(answer.unreadable.begin(), answer.unreadable.end());
+  std::set<RunnerId> removed(answer.removed.begin(), answer.removed.end());
+  removed.insert(answer.unreadable.begin(), answer.unreadable.end());
   if (answer.snapshot) {
-    for (const auto& [id, runner] : runners_) gone.insert(id);
+    for (const auto& [id, runner] : runners_) removed.insert(id);
   }
-  for (const RunnerInfo& info : answer.runners) gone.erase(info.id);
-  return gone;
+  for (const RunnerInfo& info : answer.runners) removed.erase(info.id);
+  return removed;
 }
 
 void Fleet::NoteUnreadable(Context& ctx, const RunnersListed& answer) {
   const std::set<RunnerId> before = unreadable_;
   if (answer.snapshot) unreadable_.clear();
   for (const RunnerInfo& info : answer.runners) unreadable_.erase(info.id);
-  for (const RunnerId& id : answer.gone) unreadable_.erase(id);
+  for (const RunnerId& id : answer.removed) unreadable_.erase(id);
   for (const RunnerId& id : answer.unreadable) {
     unreadable_.insert(id);
     if (before.count(id) != 0) continue;
@@ -414,11 +414,11 @@
 void Fleet::DropGone(Context& ctx) {
   for (auto it = runners_.begin(); it != runners_.end();) {
     const Runner& runner = *it->second;
-    const bool gone =
+    const bool removed =
         !runner.listed() && runner.runs().empty() && !runner.poll_in_flight &&
         !runner.order_in_flight &&
         ctx.now() - runner.unlisted_at() >= options_.unlisted_grace;
-    if (!gone) {
+    if (!removed) {
       ++it;
       continue;
     }
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -156,7 +156,7 @@
   }
   follow_misses_ = 0;
   for (const Row& row : answer.rows) {
-    if (!row.gone) Store(ctx, row, &changed);
+    if (!row.removed) Store(ctx, row, &changed);
   }
   // A part that was read meanwhile, as it was before that, must be followed
   // from there.
--- a/src/dispatch/rows.h
+++ b/src/dispatch/rows.h
@@ -31,7 +31,7 @@
   /// Changes with every write of the row; 0 if the row is not there.
   Revision revision;
   /// The row was removed.
-  bool gone = false;
+  bool removed = false;
 };
 
 /// The row must have this revision; 0: it must not be there.
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -256,7 +256,7 @@
       IsCutOffFromStore(node) || Happens(faults_.store_answers_lost);
   const dispatch::RunnersListed changes =
       lost ? dispatch::RunnersListed() : ChangesOfRunners(process.list_seen);
-  const bool changed = !changes.runners.empty() || !changes.gone.empty();
+  const bool changed = !changes.runners.empty() || !changes.removed.empty();
   if (now_ < until && !changed) {
     At(now_ + kFeedStep, [this, node, incarnation, effect, until] {
       FollowRunners(node, incarnation, effect, until);
@@ -287,7 +287,7 @@
     if (!same) changes.runners.push_back(info);
     unseen.erase(info.id);
   }
-  for (const auto& [id, entry] : unseen) changes.gone.push_back(id);
+  for (const auto& [id, entry] : unseen) changes.removed.push_back(id);
   return changes;
 }
 
@@ -297,7 +297,7 @@
   for (const dispatch::RunnerInfo& info : changes.runners) {
     seen->entries[info.id] = {info.start_time, info.draining, info.room};
   }
-  for (const RunnerId& id : changes.gone) seen->entries.erase(id);
+  for (const RunnerId& id : changes.removed) seen->entries.erase(id);
 }
 
 }  // namespace limeledge::emulator
--- a/src/emulator/emulated_store.cc
+++ b/src/emulator/emulated_store.cc
@@ -16,8 +16,8 @@
   dispatch::Row row;
   row.key = {std::get<0>(key), std::get<2>(key)};
   row.value = cell.value;
-  row.revision = cell.gone ? Revision() : cell.revision;
-  row.gone = cell.gone;
+  row.revision = cell.removed ? Revision() : cell.revision;
+  row.removed = cell.removed;
   return row;
 }
 
@@ -34,7 +34,7 @@
     if (row.revision != condition.revision) {
       answer.outcome = StoreOutcome::kConflict;
     }
-    if (!cell.gone) answer.rows.push_back(row);
+    if (!cell.removed) answer.rows.push_back(row);
   }
   if (answer.outcome == StoreOutcome::kConflict) return answer;
   answer.rows.clear();
@@ -63,7 +63,7 @@
        std::get<1>(it->first) == part;
        ++it) {
     if (!to.empty() && std::get<2>(it->first) >= to) break;
-    if (it->second.gone) continue;
+    if (it->second.removed) continue;
     if (static_cast<int>(answer.rows.size()) == limit) {
       answer.more = true;
       break;
--- a/src/emulator/emulated_store.h
+++ b/src/emulator/emulated_store.h
@@ -43,7 +43,7 @@
   struct Cell {
     std::string value;
     Revision revision;
-    bool gone = false;
+    bool removed = false;
   };
   static dispatch::Row RowOf(const Key& key, const Cell& cell);
 
--- a/test/runner-list-test.cc
+++ b/test/runner-list-test.cc
@@ -100,7 +100,7 @@
 TEST(RunnerList, RunnerWhoseEntryIsGoneIsTakenForLeaving) {
   now = now + options.unlisted_grace;
   RunnersListed changes = Changes();
-  changes.gone = {RunnerId("b")};
+  changes.removed = {RunnerId("b")};
   Tell(changes);
   CHECK_FALSE(fleet.FindPresent(RunnerId("b"))->listed());
   CHECK_TRUE(Leaves("b"));
@@ -117,9 +117,9 @@
 
 TEST(RunnerList, RunnerThatComesBackIsListedAgain) {
   now = now + options.unlisted_grace;
-  RunnersListed gone = Changes();
-  gone.gone = {RunnerId("b")};
-  Tell(gone);
+  RunnersListed removed = Changes();
+  removed.removed = {RunnerId("b")};
+  Tell(removed);
   RunnersListed back = Changes();
   back.runners = {Entry("b")};
   Tell(back);
