--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -33,8 +33,8 @@
       }));
 }
 
-void LossTracker::NoteOpen(const TaskName& task, const RunLoss& loss,
-                           StartTime listed, TimePoint now) {
+void LossTracker::AddUnresolved(const TaskName& task, const RunLoss& loss,
+                                StartTime listed, TimePoint now) {
   const auto [it, added] = open_.emplace(loss.incarnation, Open());
   if (added) {
     it->second.address = loss.address;
--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -45,8 +45,8 @@
   /// Notes a lost run whose runner may still live. Noted twice, it counts once.
   /// `listed`: the birth that the runner's entry told then, which may be that
   /// of a life before.
-  void NoteOpen(const TaskName& task, const RunLoss& loss, StartTime listed,
-                TimePoint now);
+  void AddUnresolved(const TaskName& task, const RunLoss& loss,
+                     StartTime listed, TimePoint now);
   /// Tasks that lost a run with the life, now that its fate is known; they are
   /// forgotten here.
   std::vector<TaskName> Close(const IncarnationId& incarnation);
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -142,7 +142,7 @@
   job->DropOutlivedLosses(name, lost.lasted, options_.losses);
   if (!job->RecordLoss(name, lost)) return;
   if (lost.crashed) return;
-  losses_.NoteOpen(name, lost, ListedBirth(lost.incarnation), ctx.now());
+  losses_.AddUnresolved(name, lost, ListedBirth(lost.incarnation), ctx.now());
 }
 
 bool Scheduler::WentWithOthers(const Runner& runner) const {
@@ -222,8 +222,8 @@
         if (!task.losses.empty()) lost.push_back(name);
         for (const RunLoss& loss : task.losses) {
           if (loss.crashed) continue;
-          losses_.NoteOpen(name, loss, ListedBirth(loss.incarnation),
-                           ctx.now());
+          losses_.AddUnresolved(name, loss, ListedBirth(loss.incarnation),
+                                ctx.now());
         }
       }
     }
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -99,8 +99,8 @@
 
 TEST(RunLoss, BookKnowsTheTasksOfASilentRunnerUntilItsFateIsKnown) {
   const RunLoss loss = Loss(1, false, true);
-  book.NoteOpen(task, loss, StartTime(), TimePoint(1000));
-  book.NoteOpen(task, loss, StartTime(), TimePoint(5000));
+  book.AddUnresolved(task, loss, StartTime(), TimePoint(1000));
+  book.AddUnresolved(task, loss, StartTime(), TimePoint(5000));
   LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-9")).size());
   LONGS_EQUAL(0, book.LostAt(loss.address, loss.incarnation).size());
   LONGS_EQUAL(0, book.LostAt("", Life("i-9")).size());
@@ -151,7 +151,7 @@
 TEST(RunLoss, NextLifeAtTheAddressTellsThatTheOneBeforeIsOver) {
   RunLoss loss = Loss(1, false, true);
   loss.incarnation.start_time = StartTime(100);
-  book.NoteOpen(task, loss, StartTime(100), TimePoint(1000));
+  book.AddUnresolved(task, loss, StartTime(100), TimePoint(1000));
   LONGS_EQUAL(0, book.LostAt(loss.address, loss.incarnation).size());
   LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
 }
@@ -160,7 +160,7 @@
 TEST(RunLoss, EntryOfAnEarlierLifeTellsNothingOfALaterOne) {
   RunLoss loss = Loss(1, false, true);
   loss.incarnation.start_time = StartTime(100);
-  book.NoteOpen(task, loss, StartTime(50), TimePoint(1000));
+  book.AddUnresolved(task, loss, StartTime(50), TimePoint(1000));
   LONGS_EQUAL(0, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
   LONGS_EQUAL(1, book.LostBefore(Life("i-1", StartTime(200))).size());
   LONGS_EQUAL(0, book.LostBefore(loss.incarnation).size());
