--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -68,7 +68,7 @@
   if (first) runner->BoundEarlierLease(EarlierLeaseOf(*runner));
 }
 
-void Fleet::List(Context& ctx, const StorePatience& patience) {
+void Fleet::List(Context& ctx, const StoreTimeout& patience) {
   if (list_under_way_ || ctx.now() < next_list_at_) return;
   list_under_way_ = true;
   list_sent_at_ = ctx.now();
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -124,7 +124,7 @@
 
   /// Reads the list of runners when that is due; waits as long for it as
   /// `patience` says.
-  void List(Context& ctx, const StorePatience& patience);
+  void List(Context& ctx, const StoreTimeout& patience);
   /// Takes in the list; one that could not be read changes nothing.
   void Handle(Context& ctx, const RunnersListed& answer);
   /// True once a list was read.
--- a/src/dispatch/front_end.h
+++ b/src/dispatch/front_end.h
@@ -39,7 +39,7 @@
 class FrontEnd {
  public:
   /// `patience` outlives this object.
-  FrontEnd(FrontEndOptions options, const StorePatience* patience)
+  FrontEnd(FrontEndOptions options, const StoreTimeout* patience)
       : options_(options), patience_(patience) {}
 
   /// Begins a call, or answers it at once. `store_answers`: false when the
@@ -118,7 +118,7 @@
               std::int64_t waiting = -1);
 
   FrontEndOptions options_;
-  const StorePatience* patience_;
+  const StoreTimeout* patience_;
   StoreLoss loss_ = StoreLoss::kUnknown;
   std::map<Ticket, Pending> calls_;
 };
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -45,7 +45,7 @@
 class JobBook {
  public:
   /// `patience` outlives this object.
-  explicit JobBook(const StorePatience* patience,
+  explicit JobBook(const StoreTimeout* patience,
                    JobRegistryOptions options = {})
       : options_(options), patience_(patience) {}
 
@@ -116,7 +116,7 @@
   void StoreCancel(const JobId& id, std::vector<JobId>* changed);
 
   JobRegistryOptions options_;
-  const StorePatience* patience_;
+  const StoreTimeout* patience_;
   Stage stage_ = Stage::kReadProgress;
   bool loaded_ = false;
   /// What is still to be read in this stage.
--- a/src/dispatch/leadership.cc
+++ b/src/dispatch/leadership.cc
@@ -26,7 +26,7 @@
 }  // namespace
 
 Leadership::Leadership(LeadershipOptions options, std::string holder,
-                       const StorePatience* patience)
+                       const StoreTimeout* patience)
     : options_(options),
       holder_(std::move(holder)),
       patience_(patience),
--- a/src/dispatch/leadership.h
+++ b/src/dispatch/leadership.h
@@ -47,7 +47,7 @@
   /// `holder`, INSTANCE/LIFE, must be new for each life of a process.
   /// `patience` outlives this object.
   Leadership(LeadershipOptions options, std::string holder,
-             const StorePatience* patience);
+             const StoreTimeout* patience);
 
   /// Reads or claims when that is due. Precondition: this node does not lead.
   void Follow(Context& ctx);
@@ -85,7 +85,7 @@
 
   LeadershipOptions options_;
   std::string holder_;
-  const StorePatience* patience_;
+  const StoreTimeout* patience_;
   WatchedLease watch_;
   Ticket call_;
   bool call_under_way_ = false;
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -107,7 +107,7 @@
 
   NodeOptions options_;
   Ticket tickets_;
-  StorePatience patience_;
+  StoreTimeout patience_;
   Leadership leadership_;
   FrontEnd front_end_;
   PeerCheck peers_;
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -37,7 +37,7 @@
 }
 
 PeerCheck::PeerCheck(PeerCheckOptions options, std::string instance,
-                     std::string address, const StorePatience* patience)
+                     std::string address, const StoreTimeout* patience)
     : options_(options),
       instance_(std::move(instance)),
       address_(std::move(address)),
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -61,7 +61,7 @@
   /// `address` is where this node answers its peers, HOST:PORT; empty for none,
   /// which asks nobody. `patience` outlives this object.
   PeerCheck(PeerCheckOptions options, std::string instance, std::string address,
-            const StorePatience* patience);
+            const StoreTimeout* patience);
 
   /// Does what is due. `store_answers`: false while the store counts as lost.
   void Work(Context& ctx, bool store_answers);
@@ -95,7 +95,7 @@
   PeerCheckOptions options_;
   std::string instance_;
   std::string address_;
-  const StorePatience* patience_;
+  const StoreTimeout* patience_;
   Ticket call_;
   bool call_under_way_ = false;
   /// The next turn of each kind while the store answers.
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -36,7 +36,7 @@
 
 Scheduler::Scheduler(SchedulerOptions options,
                      const Leadership::Claimed& claimed,
-                     const StorePatience* patience, TimePoint now)
+                     const StoreTimeout* patience, TimePoint now)
     : options_(options),
       patience_(patience),
       writer_(options.writer, claimed, patience, now),
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -140,7 +140,7 @@
  public:
   /// `patience` outlives this object.
   Scheduler(SchedulerOptions options, const Leadership::Claimed& claimed,
-            const StorePatience* patience, TimePoint now);
+            const StoreTimeout* patience, TimePoint now);
 
   enum class LeaseStatus { kHeld, kDeposed, kReleased };
 
@@ -364,7 +364,7 @@
                     const Run& run);
 
   SchedulerOptions options_;
-  const StorePatience* patience_;
+  const StoreTimeout* patience_;
   StateWriter writer_;
   JobBook book_;
   JobCleaner cleaner_;
--- a/src/dispatch/state_writer.cc
+++ b/src/dispatch/state_writer.cc
@@ -19,7 +19,7 @@
 
 StateWriter::StateWriter(StateWriterOptions options,
                          const Leadership::Claimed& claimed,
-                         const StorePatience* patience, TimePoint now)
+                         const StoreTimeout* patience, TimePoint now)
     : options_(options),
       patience_(patience),
       record_(claimed.record),
--- a/src/dispatch/state_writer.h
+++ b/src/dispatch/state_writer.h
@@ -50,7 +50,7 @@
 
   /// `patience` outlives this object.
   StateWriter(StateWriterOptions options, const Leadership::Claimed& claimed,
-              const StorePatience* patience, TimePoint now);
+              const StoreTimeout* patience, TimePoint now);
 
   /// The row is to be written with what `render` gives then.
   void Mark(const RowKey& key, Render render);
@@ -107,7 +107,7 @@
   void PutBack();
 
   StateWriterOptions options_;
-  const StorePatience* patience_;
+  const StoreTimeout* patience_;
   LeaderRecord record_;
   Revision revision_;
   TimePoint confirmed_at_;
--- a/src/dispatch/store_patience.cc
+++ b/src/dispatch/store_patience.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void StorePatience::Ended(Ticket ticket, TimePoint now, bool answered) {
+void StoreTimeout::Ended(Ticket ticket, TimePoint now, bool answered) {
   const auto sent = sent_.find(ticket);
   if (sent == sent_.end()) return;
   const TimePoint sent_at = sent->second;
@@ -34,7 +34,7 @@
   usual_ = std::max(taken, fallen);
 }
 
-Duration StorePatience::For(int tries) const {
+Duration StoreTimeout::For(int tries) const {
   Duration bound = std::max(usual_ * options_.times_usual, options_.shortest);
   for (int i = 0; i < tries && bound < options_.longest; ++i) bound = bound * 2;
   return std::min(bound, options_.longest);
--- a/src/dispatch/store_patience.h
+++ b/src/dispatch/store_patience.h
@@ -38,10 +38,9 @@
 /// next one.
 ///
 /// Thread safety: none; use it from one thread.
-class StorePatience {
+class StoreTimeout {
  public:
-  explicit StorePatience(StoreTimeoutOptions options = {})
-      : options_(options) {}
+  explicit StoreTimeout(StoreTimeoutOptions options = {}) : options_(options) {}
 
   /// Notes that a call was sent.
   void Sent(Ticket ticket, TimePoint now) { sent_[ticket] = now; }
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -12,7 +12,7 @@
 
 // A call that was taken up while the store seemed well.
 TEST_GROUP(FrontEnd) {
-  StorePatience patience;
+  StoreTimeout patience;
   FrontEnd front_end{FrontEndOptions(), &patience};
   Catalog catalog = emulator::MakeCatalog();
   Ticket tickets;
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -17,7 +17,7 @@
 
 TEST_GROUP(Fleet) {
   Fleet fleet{FleetOptions()};
-  StorePatience patience;
+  StoreTimeout patience;
   Ticket tickets;
   Effects effects;
   TimePoint now{1000};
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -17,7 +17,7 @@
 
 // A book whose calls are answered one by one.
 TEST_GROUP(JobBook) {
-  StorePatience patience;
+  StoreTimeout patience;
   JobBook book{&patience};
   Ticket tickets;
   Effects effects;
--- a/test/leadership-test.cc
+++ b/test/leadership-test.cc
@@ -23,7 +23,7 @@
     return options;
   }
 
-  StorePatience patience;
+  StoreTimeout patience;
   Leadership follower{Options(250), "e1/1", &patience};
 
   static LeaderRecord Held(std::int64_t capacity) {
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -39,7 +39,7 @@
 // While the jobs were read again, runners were not looked at: their leases ran
 // out if the store went away just then.
 TEST(Outage, BookThatReadsItsJobsAgainStaysLoaded) {
-  const dispatch::StorePatience patience;
+  const dispatch::StoreTimeout patience;
   dispatch::JobBook book(&patience);
   dispatch::Ticket tickets;
   dispatch::Effects effects;
@@ -159,7 +159,7 @@
 // A part's rows came late, as they had been before a following call began: jobs
 // of that part that were handed in between were never seen.
 TEST(Outage, PartThatIsReadLateIsFollowedFromWhereItWasRead) {
-  const dispatch::StorePatience patience;
+  const dispatch::StoreTimeout patience;
   dispatch::JobBook book(&patience);
   dispatch::Ticket tickets;
   dispatch::Effects effects;
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -17,7 +17,7 @@
 
 /// A node that knows six peers, and whose calls to the store fail from 5 s on.
 TEST_GROUP(PeerCheck) {
-  StorePatience patience;
+  StoreTimeout patience;
   PeerCheck check{PeerCheckOptions(), "n0", "n0:7000", &patience};
   Ticket tickets;
   Effects effects;
--- a/test/runner-list-test.cc
+++ b/test/runner-list-test.cc
@@ -15,7 +15,7 @@
 TEST_GROUP(RunnerList) {
   FleetOptions options;
   Fleet fleet{options};
-  StorePatience patience;
+  StoreTimeout patience;
   Ticket tickets;
   Effects effects;
   TimePoint now{1000};
--- a/test/state-writer-test.cc
+++ b/test/state-writer-test.cc
@@ -17,7 +17,7 @@
   TimePoint now{1000};
   Ticket tickets;
   Effects effects;
-  StorePatience patience;
+  StoreTimeout patience;
   StateWriter writer{StateWriterOptions(), ClaimedLease(), &patience,
                      TimePoint(1000)};
 
--- a/test/store-patience-test.cc
+++ b/test/store-patience-test.cc
@@ -9,8 +9,8 @@
 
 namespace limeledge::dispatch {
 
-TEST_GROUP(StorePatience) {
-  StorePatience patience;
+TEST_GROUP(StoreTimeout) {
+  StoreTimeout patience;
   TimePoint now{1000};
   Ticket ticket;
 
@@ -22,25 +22,25 @@
   }
 };
 
-TEST(StorePatience, QuickStoreIsWaitedForAShortTime) {
+TEST(StoreTimeout, QuickStoreIsWaitedForAShortTime) {
   for (int i = 0; i < 5; ++i) Call(Duration(6));
   LONGS_EQUAL(300, patience.For().ms());
 }
 
-TEST(StorePatience, EachSendingWithoutAnswerDoublesTheBoundUpToTheLongest) {
+TEST(StoreTimeout, EachSendingWithoutAnswerDoublesTheBoundUpToTheLongest) {
   LONGS_EQUAL(600, patience.For(1).ms());
   LONGS_EQUAL(1200, patience.For(2).ms());
   LONGS_EQUAL(1200, patience.For(9).ms());
 }
 
-TEST(StorePatience, SlowAnswerCountsAtOnceAndIsForgottenSlowly) {
+TEST(StoreTimeout, SlowAnswerCountsAtOnceAndIsForgottenSlowly) {
   Call(Duration(40));
   LONGS_EQUAL(400, patience.For().ms());
   Call(Duration(5));
   LONGS_EQUAL(330, patience.For().ms());
 }
 
-TEST(StorePatience, CallWithoutAnswerTeachesNothing) {
+TEST(StoreTimeout, CallWithoutAnswerTeachesNothing) {
   Call(Duration(900), false);
   LONGS_EQUAL(300, patience.For().ms());
 }
