--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -109,7 +109,7 @@
   kStaleRun,
   /// Its lease was over when it came.
   kLeaseExpired,
-  kNoRoom,
+  kNoCapacity,
   /// The ticket of the advice does not hold.
   kNoTicket,
   /// The order makes no sense to the runner.
--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -19,7 +19,7 @@
       return "others that do not fit go first";
     case WaitReason::kNoTickets:
       return "no runner has a ticket for the step";
-    case WaitReason::kNoRoom:
+    case WaitReason::kNoCapacity:
       return "no room";
     case WaitReason::kNothingMakesWay:
       return "no room, and not enough may make way";
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -120,7 +120,7 @@
   /// The advice service named no runner on which the step may run, so far.
   kNoTickets,
   /// There is no room, and nothing has to make way yet.
-  kNoRoom,
+  kNoCapacity,
   /// There is no room, and not enough may make way.
   kNothingMakesWay,
   /// Others make way; their room is not free yet.
@@ -135,7 +135,7 @@
 /// A step that begins to wait, or waits for another reason than before.
 struct StepWait {
   StepName step;
-  WaitReason reason = WaitReason::kNoRoom;
+  WaitReason reason = WaitReason::kNoCapacity;
   int tasks = 0;
 };
 
--- a/src/dispatch/planner_preemption.cc
+++ b/src/dispatch/planner_preemption.cc
@@ -45,7 +45,7 @@
   if (unit.spec->sharing() == Sharing::kLatencySensitive) {
     return ClearOfFillers(unit, request);
   }
-  WaitReason reason = WaitReason::kNoRoom;
+  WaitReason reason = WaitReason::kNoCapacity;
   if (MayDisplaceOthers(unit)) {
     reason = Displace(unit, request);
     // Nothing is above urgent work, so that it need not keep what is free.
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -104,7 +104,7 @@
   /// It became known meanwhile that its runners crash.
   kTaskCrashesRunners,
   /// The room shrank meanwhile.
-  kNoRoom,
+  kNoCapacity,
   /// The runner would not refuse what is too much for it, and its room was not
   /// confirmed lately.
   kRoomUnconfirmed,
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -37,7 +37,7 @@
       return "its runner is silent";
     case StartObstacle::kNoTicket:
       return "its ticket ran out";
-    case StartObstacle::kNoRoom:
+    case StartObstacle::kNoCapacity:
       return "its runner has no room for it any more";
     case StartObstacle::kLeaseRunsOut:
       return "the runner's lease is to run out";
@@ -140,7 +140,7 @@
   }
   if (!runner.reachable()) return StartObstacle::kRunnerSilent;
   if (!runner.MayBeGranted(now)) return StartObstacle::kLeaseRunsOut;
-  if (!runner.HasRoomFor(run)) return StartObstacle::kNoRoom;
+  if (!runner.HasRoomFor(run)) return StartObstacle::kNoCapacity;
   if (!GuardsRoom(runner) && !fleet_.KnowsRooms(now)) {
     return StartObstacle::kRoomUnconfirmed;
   }
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -31,7 +31,7 @@
       return "old run";
     case OrderOutcome::kLeaseExpired:
       return "too late";
-    case OrderOutcome::kNoRoom:
+    case OrderOutcome::kNoCapacity:
       return "no room";
     case OrderOutcome::kNoTicket:
       return "no ticket";
@@ -108,7 +108,7 @@
   if (answer.outcome == OrderOutcome::kUnhealthy) {
     Avoid(ctx, runner, options_.unhealthy_backoff, "not well");
   }
-  if (answer.outcome == OrderOutcome::kNoRoom) {
+  if (answer.outcome == OrderOutcome::kNoCapacity) {
     Avoid(ctx, runner, options_.no_room_pause, "no room");
   }
   EndRun(ctx, runner, answer.task, RunEnd::kRejected, "");
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -239,7 +239,7 @@
   dispatch::Resources used = UsedRoom();
   used += truth.need;
   if (bounds_.guards_room && !used.Fits(info_.room)) {
-    return OrderOutcome::kNoRoom;
+    return OrderOutcome::kNoCapacity;
   }
   BeginRun(order, truth);
   return OrderOutcome::kDone;
