--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -52,7 +52,7 @@
   return {tasks.begin(), tasks.end()};
 }
 
-std::vector<IncarnationId> LossTracker::LostAt(
+std::vector<IncarnationId> LossTracker::ReplacedAt(
     const std::string& address, const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
   for (const auto& [incarnation, open] : open_) {
--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -52,8 +52,8 @@
   std::vector<TaskName> Close(const IncarnationId& incarnation);
   /// Lives with open losses at the address which are over, now that the list
   /// tells of `living` there.
-  std::vector<IncarnationId> LostAt(const std::string& address,
-                                    const IncarnationId& living) const;
+  std::vector<IncarnationId> ReplacedAt(const std::string& address,
+                                        const IncarnationId& living) const;
   /// Lives with open losses of the runner, but for `living`, which answers.
   std::vector<IncarnationId> LostBefore(const IncarnationId& living) const;
   /// Lives with open losses of which nothing was heard for too long.
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -183,7 +183,7 @@
   if (!losses_.HasOpen()) return;
   for (const RunnerInfo& info : answer.runners) {
     for (const IncarnationId& lost :
-         losses_.LostAt(info.address, info.incarnation())) {
+         losses_.ReplacedAt(info.address, info.incarnation())) {
       ResolveLosses(ctx, lost, LifeFate::kCrashed);
     }
   }
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -101,9 +101,9 @@
   const RunLoss loss = Loss(1, false, true);
   book.AddUnresolved(task, loss, StartTime(), TimePoint(1000));
   book.AddUnresolved(task, loss, StartTime(), TimePoint(5000));
-  LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-9")).size());
-  LONGS_EQUAL(0, book.LostAt(loss.address, loss.incarnation).size());
-  LONGS_EQUAL(0, book.LostAt("", Life("i-9")).size());
+  LONGS_EQUAL(1, book.ReplacedAt(loss.address, Life("i-9")).size());
+  LONGS_EQUAL(0, book.ReplacedAt(loss.address, loss.incarnation).size());
+  LONGS_EQUAL(0, book.ReplacedAt("", Life("i-9")).size());
   LONGS_EQUAL(0, book.Overdue(TimePoint(20999)).size());
   LONGS_EQUAL(1, book.Overdue(TimePoint(21000)).size());
   LONGS_EQUAL(1, book.Close(loss.incarnation).size());
@@ -152,8 +152,9 @@
   RunLoss loss = Loss(1, false, true);
   loss.incarnation.start_time = StartTime(100);
   book.AddUnresolved(task, loss, StartTime(100), TimePoint(1000));
-  LONGS_EQUAL(0, book.LostAt(loss.address, loss.incarnation).size());
-  LONGS_EQUAL(1, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
+  LONGS_EQUAL(0, book.ReplacedAt(loss.address, loss.incarnation).size());
+  LONGS_EQUAL(1,
+              book.ReplacedAt(loss.address, Life("i-1", StartTime(50))).size());
 }
 
 // An entry may lag behind what the runner itself has answered.
@@ -161,7 +162,8 @@
   RunLoss loss = Loss(1, false, true);
   loss.incarnation.start_time = StartTime(100);
   book.AddUnresolved(task, loss, StartTime(50), TimePoint(1000));
-  LONGS_EQUAL(0, book.LostAt(loss.address, Life("i-1", StartTime(50))).size());
+  LONGS_EQUAL(0,
+              book.ReplacedAt(loss.address, Life("i-1", StartTime(50))).size());
   LONGS_EQUAL(1, book.LostBefore(Life("i-1", StartTime(200))).size());
   LONGS_EQUAL(0, book.LostBefore(loss.incarnation).size());
 }
