--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -256,7 +256,8 @@
   return newest;
 }
 
-TimePoint Runner::HoldEnd(std::int64_t number, TimePoint now, Duration lease) {
+TimePoint Runner::DeferAcknowledgement(std::int64_t number, TimePoint now,
+                                       Duration lease) {
   held_ends_.insert(number);
   const Duration longest = OnSlowClock(lease.ms());
   // Its clock may have stood still, and a call that is on its way may grant.
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -312,7 +312,8 @@
   /// Keeps an end from being told as known until this life's lease has surely
   /// run out since: `lease` is the longest that is granted. Until then nothing
   /// may be granted. Returns when that is.
-  TimePoint HoldEnd(std::int64_t number, TimePoint now, Duration lease);
+  TimePoint DeferAcknowledgement(std::int64_t number, TimePoint now,
+                                 Duration lease);
   /// Lets ends be told as known again once the lease has run out.
   void ReleaseHeldEnds(TimePoint now);
   /// False while the lease is to run out.
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -275,8 +275,8 @@
     const bool written_off =
         runner->written_off.erase({end.task, end.run}) != 0;
     if (MustNotBeNoted(*runner, end, written_off)) {
-      const TimePoint until =
-          runner->HoldEnd(end.number, ctx.now(), options_.fleet.run_lease);
+      const TimePoint until = runner->DeferAcknowledgement(
+          end.number, ctx.now(), options_.fleet.run_lease);
       Avoid(ctx, runner, until - ctx.now(), "its lease is to run out");
     }
     TakeLateEnd(ctx, *runner, end);
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -418,7 +418,7 @@
   runner->Heard(now, 1);
   runner->newest_end = 4;
   const Duration lease = FleetOptions().run_lease;
-  const TimePoint until = runner->HoldEnd(3, now, lease);
+  const TimePoint until = runner->DeferAcknowledgement(3, now, lease);
   CHECK_TRUE(until - now > lease);
   const std::optional<PollRunner> held = Poll();
   LONGS_EQUAL(2, held->acknowledged_end);
@@ -436,7 +436,7 @@
   constexpr Duration kLate{12500};
   runner->late_orders.NoteGrant(now + kLate);
   const Duration lease = FleetOptions().run_lease;
-  CHECK_TRUE(runner->HoldEnd(1, now, lease) > now + kLate + lease);
+  CHECK_TRUE(runner->DeferAcknowledgement(1, now, lease) > now + kLate + lease);
 }
 
 TEST(Fleet, LeaseOfAnEarlierSchedulerIsBoundedOnceItsRunnerIsHeard) {
