--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -111,7 +111,7 @@
   kLeaseExpired,
   kNoCapacity,
   /// The ticket of the advice does not hold.
-  kNoTicket,
+  kInvalidTicket,
   /// The order makes no sense to the runner.
   kInvalid,
   /// The runner is not well and did nothing.
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -33,7 +33,7 @@
       return "too late";
     case OrderOutcome::kNoCapacity:
       return "no room";
-    case OrderOutcome::kNoTicket:
+    case OrderOutcome::kInvalidTicket:
       return "no ticket";
     case OrderOutcome::kInvalid:
       return "invalid";
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -256,7 +256,7 @@
             !TicketIsFor(start.ticket, step, runner->info().incarnation());
         if (foreign) {
           dispatch::StartRunCompleted refused = answer;
-          refused.outcome = OrderOutcome::kNoTicket;
+          refused.outcome = OrderOutcome::kInvalidTicket;
           return refused;
         }
         dispatch::StartRunCompleted done = runner->Start(start);
