--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -65,7 +65,7 @@
   return lost;
 }
 
-std::vector<IncarnationId> LossTracker::LostBefore(
+std::vector<IncarnationId> LossTracker::EarlierIncarnations(
     const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
   for (const auto& [incarnation, open] : open_) {
--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -55,7 +55,8 @@
   std::vector<IncarnationId> ReplacedAt(const std::string& address,
                                         const IncarnationId& living) const;
   /// Lives with open losses of the runner, but for `living`, which answers.
-  std::vector<IncarnationId> LostBefore(const IncarnationId& living) const;
+  std::vector<IncarnationId> EarlierIncarnations(
+      const IncarnationId& living) const;
   /// Lives with open losses of which nothing was heard for too long.
   std::vector<IncarnationId> Overdue(TimePoint now) const;
   bool HasOpen() const { return !open_.empty(); }
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -237,7 +237,7 @@
   ResolveLosses(ctx, runner->incarnation(), LifeFate::kLives);
   // One that was followed by another does not live on.
   for (const IncarnationId& before :
-       losses_.LostBefore(runner->incarnation())) {
+       losses_.EarlierIncarnations(runner->incarnation())) {
     ResolveLosses(
         ctx, before,
         IsReported(before.start_time) ? LifeFate::kCrashed : LifeFate::kLives);
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -164,8 +164,8 @@
   book.AddUnresolved(task, loss, StartTime(50), TimePoint(1000));
   LONGS_EQUAL(0,
               book.ReplacedAt(loss.address, Life("i-1", StartTime(50))).size());
-  LONGS_EQUAL(1, book.LostBefore(Life("i-1", StartTime(200))).size());
-  LONGS_EQUAL(0, book.LostBefore(loss.incarnation).size());
+  LONGS_EQUAL(1, book.EarlierIncarnations(Life("i-1", StartTime(200))).size());
+  LONGS_EQUAL(0, book.EarlierIncarnations(loss.incarnation).size());
 }
 
 TEST(RunLoss, LivesOfARunAndOfALossAreStored) {
