--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -267,7 +267,7 @@
   return no_grant_until_;
 }
 
-void Runner::ReleaseHeldEnds(TimePoint now) {
+void Runner::ReleaseDeferredAcknowledgements(TimePoint now) {
   if (MayBeGranted(now)) held_ends_.clear();
 }
 
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -315,7 +315,7 @@
   TimePoint DeferAcknowledgement(std::int64_t number, TimePoint now,
                                  Duration lease);
   /// Lets ends be told as known again once the lease has run out.
-  void ReleaseHeldEnds(TimePoint now);
+  void ReleaseDeferredAcknowledgements(TimePoint now);
   /// False while the lease is to run out.
   bool MayBeGranted(TimePoint now) const { return now >= no_grant_until_; }
   /// Runs that the runner listed and that nobody waits for.
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -96,7 +96,7 @@
 
 void Scheduler::CheckRuns(Context& ctx) {
   for (auto& [id, runner] : fleet_.runners()) {
-    runner->ReleaseHeldEnds(ctx.now());
+    runner->ReleaseDeferredAcknowledgements(ctx.now());
     if (runner->runs().empty()) continue;
     const bool silent = !runner->reachable();
     if (silent && ctx.now() >= runner->lease_over_at()) {
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -426,7 +426,7 @@
   runner->poll_in_flight = false;
   now = until;
   runner->Heard(now, until.ms());
-  runner->ReleaseHeldEnds(now);
+  runner->ReleaseDeferredAcknowledgements(now);
   LONGS_EQUAL(4, Poll()->acknowledged_end);
 }
 
