--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -43,7 +43,7 @@
   StoreOutcome outcome = StoreOutcome::kUnknown;
   std::vector<Row> rows;
   /// More rows follow after the last one.
-  bool more = false;
+  bool has_more = false;
   /// Newest revision of the store.
   Revision newest;
 };
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -110,7 +110,7 @@
       progress_[JobId(row.key.key)] = row.value;
     }
   }
-  if (answer.more && !answer.rows.empty()) {
+  if (answer.has_more && !answer.rows.empty()) {
     // Keys hold no blanks, so that this is the smallest one behind the last.
     reading->next_key = absl::StrCat(answer.rows.back().key.key, " ");
     return changed;
--- a/src/emulator/emulated_store.cc
+++ b/src/emulator/emulated_store.cc
@@ -65,7 +65,7 @@
     if (!to.empty() && std::get<2>(it->first) >= to) break;
     if (it->second.removed) continue;
     if (static_cast<int>(answer.rows.size()) == limit) {
-      answer.more = true;
+      answer.has_more = true;
       break;
     }
     answer.rows.push_back(RowOf(it->first, it->second));
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -33,9 +33,9 @@
   }
 
   void Answer(const Effect& read, const std::vector<Row>& rows = {},
-              int newest = 10, bool more = false) {
+              int newest = 10, bool has_more = false) {
     ReadCompleted answer;
-    answer.more = more;
+    answer.has_more = has_more;
     answer.outcome = StoreOutcome::kDone;
     answer.ticket = std::get<ReadRows>(read).ticket;
     answer.rows = rows;
