--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -59,7 +59,7 @@
       const IncarnationId& living) const;
   /// Lives with open losses of which nothing was heard for too long.
   std::vector<IncarnationId> Overdue(TimePoint now) const;
-  bool HasOpen() const { return !open_.empty(); }
+  bool HasUnresolved() const { return !open_.empty(); }
 
   /// Notes a runner that is taken for lost now.
   void NoteRunnerLost(LostRunner lost);
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -180,7 +180,7 @@
 }
 
 void Scheduler::TakeOtherLives(Context& ctx, const RunnersListed& answer) {
-  if (!losses_.HasOpen()) return;
+  if (!losses_.HasUnresolved()) return;
   for (const RunnerInfo& info : answer.runners) {
     for (const IncarnationId& lost :
          losses_.ReplacedAt(info.address, info.incarnation())) {
@@ -190,7 +190,7 @@
 }
 
 void Scheduler::SettleOverdue(Context& ctx) {
-  if (!losses_.HasOpen()) return;
+  if (!losses_.HasUnresolved()) return;
   for (const IncarnationId& incarnation : losses_.Overdue(ctx.now())) {
     ResolveLosses(ctx, incarnation, LifeFate::kNeverHeardOf);
   }
@@ -233,7 +233,7 @@
 
 void Scheduler::NoteHeard(Context& ctx, Runner* runner, std::int64_t clock_ms) {
   fleet_.NoteHeard(runner, ctx.now(), clock_ms);
-  if (!losses_.HasOpen()) return;
+  if (!losses_.HasUnresolved()) return;
   ResolveLosses(ctx, runner->incarnation(), LifeFate::kLives);
   // One that was followed by another does not live on.
   for (const IncarnationId& before :
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -107,7 +107,7 @@
   LONGS_EQUAL(0, book.Overdue(TimePoint(20999)).size());
   LONGS_EQUAL(1, book.Overdue(TimePoint(21000)).size());
   LONGS_EQUAL(1, book.Close(loss.incarnation).size());
-  CHECK_FALSE(book.HasOpen());
+  CHECK_FALSE(book.HasUnresolved());
 }
 
 TEST(RunLoss, BookTellsWhoWasLostAboutAMoment) {
