--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -263,7 +263,7 @@
   // Its clock may have stood still, and a call that is on its way may grant.
   const TimePoint newest_grant = std::max(now, late_orders.grants_until());
   no_grant_until_ =
-      std::max({no_grant_until_, lease_over_at(), newest_grant + longest});
+      std::max({no_grant_until_, lease_expires_at(), newest_grant + longest});
   return no_grant_until_;
 }
 
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -253,7 +253,7 @@
   /// it may be granted. Precondition: `heard()`.
   std::int64_t GrantUntil(TimePoint now, Duration length);
   /// From this moment no lease that was granted can last.
-  TimePoint lease_over_at() const {
+  TimePoint lease_expires_at() const {
     return std::max(lease_over_at_, inherited_until_);
   }
   /// An earlier scheduler, which the runner obeyed until it was first heard,
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -99,7 +99,7 @@
     runner->ReleaseDeferredAcknowledgements(ctx.now());
     if (runner->runs().empty()) continue;
     const bool silent = !runner->reachable();
-    if (silent && ctx.now() >= runner->lease_over_at()) {
+    if (silent && ctx.now() >= runner->lease_expires_at()) {
       EndLapsed(ctx, runner.get());
       continue;
     }
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -148,14 +148,14 @@
   AddRun(runner);
   runner->Heard(now, 500000);
   CHECK_TRUE(Poll().has_value());
-  const TimePoint over = runner->lease_over_at();
+  const TimePoint over = runner->lease_expires_at();
   runner->poll_in_flight = false;
   runner->Missed(now);
   now = now + Duration(2000);
   const std::optional<PollRunner> poll = Poll();
   CHECK_TRUE(poll.has_value());
   LONGS_EQUAL(0, poll->until_ms);
-  CHECK_TRUE(over == runner->lease_over_at());
+  CHECK_TRUE(over == runner->lease_expires_at());
 }
 
 TEST(Fleet, FirstLooksAreSpreadAndTheRestWaitsForAnswers) {
@@ -386,7 +386,7 @@
   CHECK_FALSE(next->ended);
   DOUBLES_EQUAL(1, next->slowness(), 0);
   LONGS_EQUAL(8, next->free_room().accelerators);
-  CHECK_TRUE(next->lease_over_at() <= now);
+  CHECK_TRUE(next->lease_expires_at() <= now);
 }
 
 TEST(Fleet, EndsAreToldAsKnownOnceAndToALifeThatWasHeardJustNow) {
@@ -441,13 +441,13 @@
 
 TEST(Fleet, LeaseOfAnEarlierSchedulerIsBoundedOnceItsRunnerIsHeard) {
   Runner* runner = Inherit("i-1", StartTime());
-  const TimePoint unheard = runner->lease_over_at();
+  const TimePoint unheard = runner->lease_expires_at();
   now = now + Duration(50);
   fleet.NoteHeard(runner, now, 500);
-  CHECK_TRUE(runner->lease_over_at() < unheard);
+  CHECK_TRUE(runner->lease_expires_at() < unheard);
   // No lease of 5 s on a clock 2% slow lasts longer, and some lease may.
-  CHECK_TRUE(runner->lease_over_at() >= now + Duration(5100));
-  CHECK_TRUE(runner->lease_over_at() <= now + Duration(5500));
+  CHECK_TRUE(runner->lease_expires_at() >= now + Duration(5100));
+  CHECK_TRUE(runner->lease_expires_at() <= now + Duration(5500));
 }
 
 // A late call to the life before may have granted all that a runner takes.
@@ -455,17 +455,17 @@
      LeaseOfAnEarlierSchedulerIsBoundedByTheLongestOnRunnersThatKeepIds) {
   Runner* runner = Inherit("i-1", StartTime(1700000000000));
   fleet.NoteHeard(runner, now, 500);
-  CHECK_TRUE(runner->lease_over_at() >= now + Duration(10200));
-  CHECK_TRUE(runner->lease_over_at() <= now + Duration(10800));
+  CHECK_TRUE(runner->lease_expires_at() >= now + Duration(10200));
+  CHECK_TRUE(runner->lease_expires_at() <= now + Duration(10800));
 }
 
 // Hearing a life again says nothing of what a call to the life before granted.
 TEST(Fleet, ForeignGrantOutlastsTheFirstAnswerOfALife) {
   Runner* runner = Inherit("i-1", StartTime(1700000000000));
   runner->NoteForeignGrant(now + Duration(12500), Duration(10000));
-  const TimePoint foreign = runner->lease_over_at();
+  const TimePoint foreign = runner->lease_expires_at();
   fleet.NoteHeard(runner, now, 500);
-  CHECK_TRUE(runner->lease_over_at() == foreign);
+  CHECK_TRUE(runner->lease_expires_at() == foreign);
 }
 
 }  // namespace limeledge::dispatch
