--- a/src/dispatch/catalog_watcher.cc
+++ b/src/dispatch/catalog_watcher.cc
@@ -62,7 +62,7 @@
 
 void CatalogWatcher::TakeHalls(Context& ctx, const CatalogReceived& answer) {
   const std::set<HallId> before = emptied_halls_;
-  if (answer.names_all_halls) emptied_halls_.clear();
+  if (answer.lists_all_halls) emptied_halls_.clear();
   for (const auto& [hall, emptied] : answer.halls) {
     if (emptied) {
       emptied_halls_.insert(hall);
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -67,7 +67,7 @@
   std::map<HallId, bool> halls;
   /// Halls that are not named are not to be emptied; else they are as they
   /// were.
-  bool names_all_halls = false;
+  bool lists_all_halls = false;
   Revision newest;
 };
 
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -198,7 +198,7 @@
     dispatch::CatalogReceived answer;
     answer.outcome = away ? StoreOutcome::kNotApplied : StoreOutcome::kDone;
     if (!away && snapshot) answer.catalog = catalog_;
-    answer.names_all_halls = !away;
+    answer.lists_all_halls = !away;
     for (const auto& [hall, since] : emptied_halls_) answer.halls[hall] = true;
     Deliver(node, incarnation, answer);
   });
