--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -88,7 +88,7 @@
   if (lost_.size() > kMostLost) lost_.pop_front();
 }
 
-std::vector<LostRunner> LossTracker::LostAround(TimePoint moment) const {
+std::vector<LostRunner> LossTracker::LostNear(TimePoint moment) const {
   std::vector<LostRunner> around;
   for (const LostRunner& lost : lost_) {
     const bool same_moment = lost.silent_since <= moment + rules_.same_moment &&
--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -64,7 +64,7 @@
   /// Notes a runner that is taken for lost now.
   void NoteRunnerLost(LostRunner lost);
   /// Runners that were lost about that moment.
-  std::vector<LostRunner> LostAround(TimePoint moment) const;
+  std::vector<LostRunner> LostNear(TimePoint moment) const;
 
  private:
   struct Open {
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -149,7 +149,7 @@
   if (!runner.silent_since().has_value()) return false;
   const LossRules& rules = options_.losses;
   const TimePoint moment = *runner.silent_since();
-  std::vector<LostRunner> lost = losses_.LostAround(moment);
+  std::vector<LostRunner> lost = losses_.LostNear(moment);
   std::set<IncarnationId> known;
   for (const LostRunner& other : lost) known.insert(other.incarnation);
   for (const auto& [id, other] : fleet_.runners()) {
