--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -344,7 +344,7 @@
   const bool renew = may_renew && runner->reachable() && leased &&
                      runner->MayBeGranted(ctx.now());
   if (renew) {
-    poll.until_ms = runner->GrantUntil(ctx.now(), options_.run_lease);
+    poll.until_ms = runner->GrantLease(ctx.now(), options_.run_lease);
   }
   // The first look tells the runner's clock, which a renewal needs.
   poll.wait = runner->reachable() ? WaitFor(*runner) : Duration(0);
--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -293,7 +293,7 @@
   lease_over_at_ = std::max(lease_over_at_, at + OnSlowClock(longest.ms()));
 }
 
-std::int64_t Runner::GrantUntil(TimePoint now, Duration length) {
+std::int64_t Runner::GrantLease(TimePoint now, Duration length) {
   const std::int64_t until =
       heard_clock_ms_ + (now - heard_at_).ms() + length.ms();
   const TimePoint over = heard_at_ + OnSlowClock(until - heard_clock_ms_);
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -251,7 +251,7 @@
 
   /// The end of a lease of `length` from now on the runner's clock; notes that
   /// it may be granted. Precondition: `heard()`.
-  std::int64_t GrantUntil(TimePoint now, Duration length);
+  std::int64_t GrantLease(TimePoint now, Duration length);
   /// From this moment no lease that was granted can last.
   TimePoint lease_expires_at() const {
     return std::max(lease_over_at_, inherited_until_);
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -196,7 +196,7 @@
                          .tasks[name.index]
                          .checkpoint;
   start.ticket = TicketOf(ctx.now(), *runner, name);
-  start.until_ms = runner->GrantUntil(ctx.now(), options_.fleet.run_lease);
+  start.until_ms = runner->GrantLease(ctx.now(), options_.fleet.run_lease);
   ctx.Emit(std::move(start));
 }
 
