--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -54,7 +54,7 @@
   front_end_.NoteStoreLoss(peers_.loss());
   const bool lingers = ctx.now() - stop_asked_at_ < options_.linger;
   const bool handed_over = scheduler_ == nullptr && front_end_.idle();
-  const bool must_go = ctx.now() - stop_asked_at_ >= options_.longest_stop;
+  const bool must_go = ctx.now() - stop_asked_at_ >= options_.max_shutdown_time;
   const bool done = stopping_ && !lingers && (handed_over || must_go);
   if (done && !exited_) {
     exited_ = true;
@@ -97,8 +97,9 @@
   next = std::min({next, catalog_.next_at(), peers_.next_at()});
   if (stopping_ && !exited_) {
     const bool lingers = stop_asked_at_ + options_.linger > last_event_at_;
-    next = std::min(next, stop_asked_at_ + (lingers ? options_.linger
-                                                    : options_.longest_stop));
+    next =
+        std::min(next, stop_asked_at_ + (lingers ? options_.linger
+                                                 : options_.max_shutdown_time));
   }
   return next;
 }
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -40,7 +40,7 @@
   Duration stood_still{1000};
   /// The process ends after this even if the store takes no hand-over; less
   /// than the time after which it is killed.
-  Duration longest_stop{5000};
+  Duration max_shutdown_time{5000};
   /// Names the instance, whichever process lives on it.
   std::string instance;
   /// Where this node answers its peers; empty for nowhere.
