--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -31,7 +31,7 @@
   FleetOptions fleet;
   PlannerOptions planner;
   StateWriterOptions writer;
-  JobRegistryOptions book;
+  JobRegistryOptions job_registry;
   JobCleanerOptions cleaner;
   LossRules losses;
   /// Shortest time between two passes of the planner, and what is added for
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -92,7 +92,7 @@
   options.instance = absl::StrCat("n", node);
   options.peer_address = options.instance;
   options.scheduler.planner = options_.planner;
-  options.scheduler.book = options_.book;
+  options.scheduler.job_registry = options_.job_registry;
   options.scheduler.losses = options_.losses;
   process.node = std::make_unique<dispatch::Node>(options);
   Reduce(node, dispatch::TimerFired());
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -44,7 +44,7 @@
   Duration room_notice{4500};
   /// Of the scheduler of every node.
   dispatch::PlannerOptions planner;
-  dispatch::JobRegistryOptions book;
+  dispatch::JobRegistryOptions job_registry;
   dispatch::LossRules losses;
   /// One way between any two parties.
   Duration network{1};
--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -63,7 +63,7 @@
     // On few runners many runs meet, and all their orders wait for each other.
     options.runners = 1 + seed % 8;
     // Jobs are read in several pages.
-    if (seed % 2 == 0) options.book.page_rows = 3;
+    if (seed % 2 == 0) options.job_registry.page_rows = 3;
     // Some runners count a late order's lease from its arrival.
     if (seed % 3 == 0) options.bounds.lease_from_arrival = Duration(5000);
     return options;
