--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -83,7 +83,7 @@
   return overdue;
 }
 
-void LossTracker::NoteRunnerLost(LostRunner lost) {
+void LossTracker::AddLostRunner(LostRunner lost) {
   lost_.push_back(std::move(lost));
   if (lost_.size() > kMostLost) lost_.pop_front();
 }
--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -62,7 +62,7 @@
   bool HasUnresolved() const { return !open_.empty(); }
 
   /// Notes a runner that is taken for lost now.
-  void NoteRunnerLost(LostRunner lost);
+  void AddLostRunner(LostRunner lost);
   /// Runners that were lost about that moment.
   std::vector<LostRunner> LostNear(TimePoint moment) const;
 
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -87,7 +87,7 @@
   loss.how = how;
   loss.silent_since = runner->silent_since().value_or(ctx.now());
   if (how != RunnerEnd::kLeft && !runner->ended) {
-    losses_.NoteRunnerLost(
+    losses_.AddLostRunner(
         DescribeLost(*runner, loss.silent_since, options_.losses));
   }
   // Once for all runs: it looks at every runner.
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -111,9 +111,9 @@
 }
 
 TEST(RunLoss, BookTellsWhoWasLostAboutAMoment) {
-  book.NoteRunnerLost({Life("i-1"), TimePoint(1000), false, {}});
-  book.NoteRunnerLost({Life("i-2"), TimePoint(1900), true, {}});
-  book.NoteRunnerLost({Life("i-3"), TimePoint(2100), false, {}});
+  book.AddLostRunner({Life("i-1"), TimePoint(1000), false, {}});
+  book.AddLostRunner({Life("i-2"), TimePoint(1900), true, {}});
+  book.AddLostRunner({Life("i-3"), TimePoint(2100), false, {}});
   LONGS_EQUAL(2, book.LostNear(TimePoint(1000)).size());
   LONGS_EQUAL(3, book.LostNear(TimePoint(1500)).size());
 }
