--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -287,7 +287,7 @@
       std::min(inherited_until_, obeys_since_ + OnSlowClock(longest.ms()));
 }
 
-void Runner::NoteForeignGrant(TimePoint granted_at, Duration longest) {
+void Runner::RecordLateGrant(TimePoint granted_at, Duration longest) {
   const TimePoint at = std::max(granted_at, late_orders.grants_until());
   if (at == TimePoint()) return;
   lease_over_at_ = std::max(lease_over_at_, at + OnSlowClock(longest.ms()));
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -261,7 +261,7 @@
   void NoteEarlierLease(Duration length);
   /// Calls that were meant for an earlier life may have granted, or may still
   /// grant, all of `longest`: up to their latest arrival, or at `granted_at`.
-  void NoteForeignGrant(TimePoint granted_at, Duration longest);
+  void RecordLateGrant(TimePoint granted_at, Duration longest);
   /// An earlier scheduler, which the runner may still obey, may grant a lease
   /// up to `at`.
   void LeaseMayLastUntil(TimePoint at) { inherited_until_ = at; }
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -133,8 +133,8 @@
   // The look that told of it is its first one.
   next->poll_sent_at = poll_sent_at;
   next->poll_number = poll_number;
-  next->NoteForeignGrant(granted_now ? now : TimePoint(),
-                         options_.fleet.longest_lease);
+  next->RecordLateGrant(granted_now ? now : TimePoint(),
+                        options_.fleet.longest_lease);
   return next;
 }
 
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -462,7 +462,7 @@
 // Hearing a life again says nothing of what a call to the life before granted.
 TEST(Fleet, ForeignGrantOutlastsTheFirstAnswerOfALife) {
   Runner* runner = Inherit("i-1", StartTime(1700000000000));
-  runner->NoteForeignGrant(now + Duration(12500), Duration(10000));
+  runner->RecordLateGrant(now + Duration(12500), Duration(10000));
   const TimePoint foreign = runner->lease_expires_at();
   fleet.NoteHeard(runner, now, 500);
   CHECK_TRUE(runner->lease_expires_at() == foreign);
