--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -197,7 +197,7 @@
   /// With `kSubmit`: the payload, steps and recurrence.
   JobSpec spec;
   /// What is wrong with the body; empty if nothing is.
-  std::string findings;
+  std::string spec_error;
   /// Time until the caller gives up.
   Duration deadline{3000};
 };
--- a/src/dispatch/front_end.cc
+++ b/src/dispatch/front_end.cc
@@ -143,8 +143,8 @@
   }
   if (call.kind != CallKind::kSubmit) {
     BeginRead(ctx, call, *queue, id);
-  } else if (!call.findings.empty()) {
-    Answer(ctx, call, CallResult::kInvalid, call.findings);
+  } else if (!call.spec_error.empty()) {
+    Answer(ctx, call, CallResult::kInvalid, call.spec_error);
   } else {
     Submit(ctx, call, *queue, workspace, id);
   }
