--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -156,7 +156,7 @@
   }
   /// The process stood still: a list that was under way tells of the time when
   /// it was asked for.
-  void NoteProcessPause() { list_is_old_ = list_under_way_; }
+  void HandleProcessPause() { list_is_old_ = list_under_way_; }
   /// Drops runners that are gone and hold nothing.
   void DropGone(Context& ctx);
 
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -68,7 +68,7 @@
 void Node::CheckStoodStill(Context& ctx) {
   if (scheduler_ == nullptr || !due_at_.has_value()) return;
   const Duration late = ctx.now() - *due_at_;
-  if (late >= options_.stood_still) scheduler_->NoteProcessPause(ctx, late);
+  if (late >= options_.stood_still) scheduler_->HandleProcessPause(ctx, late);
 }
 
 void Node::WatchStore(const Effects& effects) {
@@ -228,7 +228,7 @@
                                            &patience_, claimed.sent_at);
   // The claim's answer may have waited for a process that stood still.
   const Duration late = ctx.now() - claimed.sent_at;
-  if (late >= options_.stood_still) scheduler_->NoteProcessPause(ctx, late);
+  if (late >= options_.stood_still) scheduler_->HandleProcessPause(ctx, late);
   ctx.Log(LogId::kLeaderClaimed,
           {{"epoch", std::to_string(claimed.record.epoch.value())}});
   if (stopping_) scheduler_->Release();
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -284,10 +284,10 @@
            {"open", std::to_string(room.open)}});
 }
 
-void Scheduler::NoteProcessPause(Context& ctx, Duration time) {
+void Scheduler::HandleProcessPause(Context& ctx, Duration time) {
   writer_.RequireConfirmation(ctx.now());
-  fleet_.NoteProcessPause();
-  advice_.NoteProcessPause(time);
+  fleet_.HandleProcessPause();
+  advice_.HandleProcessPause(time);
   ctx.Log(LogId::kStoodStill, {{"ms", std::to_string(time.ms())},
                                {"epoch", std::to_string(epoch().value())}});
 }
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -158,7 +158,7 @@
   /// The process stood still for `time`: another may schedule since. Nothing is
   /// sent to runners, and nothing else written, until the store has confirmed
   /// that this one still does.
-  void NoteProcessPause(Context& ctx, Duration time);
+  void HandleProcessPause(Context& ctx, Duration time);
   /// Does all that is due. Call it after every event.
   void Work(Context& ctx, const Catalog& catalog);
   TimePoint next_at() const;
--- a/src/dispatch/ticket_cache.h
+++ b/src/dispatch/ticket_cache.h
@@ -51,7 +51,7 @@
   void Forget(const JobId& job);
   /// The process stood still for `time`: tickets that were under way are as
   /// much older than they seem.
-  void NoteProcessPause(Duration time) {
+  void HandleProcessPause(Duration time) {
     if (under_way_) stood_still_ = stood_still_ + time;
   }
 
