--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -240,20 +240,20 @@
 }
 
 bool Job::ResolveLosses(const TaskName& name, const IncarnationId& incarnation,
-                        LifeFate fate) {
+                        IncarnationFate fate) {
   Task* task = Find(name);
   if (task == nullptr) return false;
   bool changed = false;
   for (auto loss = task->losses.begin(); loss != task->losses.end();) {
     const bool open = loss->incarnation == incarnation && !loss->crashed;
     changed = changed || open;
-    if (open && fate == LifeFate::kLives) {
+    if (open && fate == IncarnationFate::kLives) {
       loss = task->losses.erase(loss);
       continue;
     }
     if (open) {
       loss->crashed = true;
-      if (fate == LifeFate::kNeverHeardOf) loss->suspicious = false;
+      if (fate == IncarnationFate::kNeverHeardOf) loss->suspicious = false;
     }
     ++loss;
   }
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -173,7 +173,7 @@
   /// Notes what became of a life that the task lost runs with. Returns false if
   /// nothing changes.
   bool ResolveLosses(const TaskName& name, const IncarnationId& incarnation,
-                     LifeFate fate);
+                     IncarnationFate fate);
   /// Gives up a task that waits. Returns false, and changes nothing, if it does
   /// not wait.
   bool FailWaitingTask(const TaskName& name);
--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -33,7 +33,7 @@
 };
 
 /// What became of a life of a runner that runs were lost with.
-enum class LifeFate {
+enum class IncarnationFate {
   /// It answers: it was cut off, and the runs were lost by chance.
   kLives,
   kCrashed,
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -251,7 +251,7 @@
                  const Run& run, const RunnerLoss& loss);
   /// It is known now what became of a life.
   void ResolveLosses(Context& ctx, const IncarnationId& incarnation,
-                     LifeFate fate);
+                     IncarnationFate fate);
   /// Settles the losses of runners whose addresses others have taken.
   void TakeOtherLives(Context& ctx, const RunnersListed& answer);
   /// Settles what was in doubt for too long.
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -84,7 +84,7 @@
     EndRun(ctx, before, name, RunEnd::kRejected, "");
     StopGang(ctx, name);
   }
-  ResolveLosses(ctx, old_life, LifeFate::kCrashed);
+  ResolveLosses(ctx, old_life, IncarnationFate::kCrashed);
   Runner* next = CarryOver(ctx, before, moved, to_bar, answer);
   plan_due_ = true;
   return next;
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -37,13 +37,13 @@
 }
 
 /// Whether it lives, for logs.
-const char* ToString(LifeFate fate) {
+const char* ToString(IncarnationFate fate) {
   switch (fate) {
-    case LifeFate::kLives:
+    case IncarnationFate::kLives:
       return "yes";
-    case LifeFate::kCrashed:
+    case IncarnationFate::kCrashed:
       return "no";
-    case LifeFate::kNeverHeardOf:
+    case IncarnationFate::kNeverHeardOf:
       return "never heard of";
   }
   return "";
@@ -164,7 +164,7 @@
 }
 
 void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& incarnation,
-                              LifeFate fate) {
+                              IncarnationFate fate) {
   for (const TaskName& name : losses_.Close(incarnation)) {
     Job* job = book_.Find(name.job);
     if (job == nullptr || !job->ResolveLosses(name, incarnation, fate))
@@ -184,7 +184,7 @@
   for (const RunnerInfo& info : answer.runners) {
     for (const IncarnationId& lost :
          losses_.ReplacedAt(info.address, info.incarnation())) {
-      ResolveLosses(ctx, lost, LifeFate::kCrashed);
+      ResolveLosses(ctx, lost, IncarnationFate::kCrashed);
     }
   }
 }
@@ -192,7 +192,7 @@
 void Scheduler::SettleOverdue(Context& ctx) {
   if (!losses_.HasUnresolved()) return;
   for (const IncarnationId& incarnation : losses_.Overdue(ctx.now())) {
-    ResolveLosses(ctx, incarnation, LifeFate::kNeverHeardOf);
+    ResolveLosses(ctx, incarnation, IncarnationFate::kNeverHeardOf);
   }
 }
 
@@ -234,13 +234,13 @@
 void Scheduler::NoteHeard(Context& ctx, Runner* runner, std::int64_t clock_ms) {
   fleet_.NoteHeard(runner, ctx.now(), clock_ms);
   if (!losses_.HasUnresolved()) return;
-  ResolveLosses(ctx, runner->incarnation(), LifeFate::kLives);
+  ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kLives);
   // One that was followed by another does not live on.
   for (const IncarnationId& before :
        losses_.EarlierIncarnations(runner->incarnation())) {
-    ResolveLosses(
-        ctx, before,
-        IsReported(before.start_time) ? LifeFate::kCrashed : LifeFate::kLives);
+    ResolveLosses(ctx, before,
+                  IsReported(before.start_time) ? IncarnationFate::kCrashed
+                                                : IncarnationFate::kLives);
   }
 }
 
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -183,7 +183,7 @@
   LoseRuns(ctx, runner, names,
            runner->LeftAsKnown() ? RunnerEnd::kLeft : RunnerEnd::kCrashed);
   runner->ended = true;
-  ResolveLosses(ctx, runner->incarnation(), LifeFate::kCrashed);
+  ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kCrashed);
 }
 
 void Scheduler::EndLapsed(Context& ctx, Runner* runner) {
