--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -229,7 +229,7 @@
             {{"runner", runner->id().value()},
              {"taken_for", lapsed ? "lapsed" : "leaving"}});
   }
-  if (!lapsed) runner->TakeForLeaving(ctx.now(), options_.unannounced_stay);
+  if (!lapsed) runner->MarkLeaving(ctx.now(), options_.unannounced_stay);
 }
 
 Duration Fleet::WaitFor(const Runner& runner) const {
--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -108,7 +108,7 @@
   info_ = info;
   if (!IsOwn(info)) return;
   if (info.draining) {
-    TakeForLeaving(now, info.leaves_in);
+    MarkLeaving(now, info.leaves_in);
   } else {
     drains_since_.reset();
   }
@@ -124,7 +124,7 @@
   // What the entry tells of another life is old.
   next->hinted = info_.start_time;
   if (next->IsOwn(info_) && info_.draining) {
-    next->TakeForLeaving(now, info_.leaves_in);
+    next->MarkLeaving(now, info_.leaves_in);
   }
   return next;
 }
@@ -139,7 +139,7 @@
   unlisted_at_ = now;
 }
 
-void Runner::TakeForLeaving(TimePoint now, Duration leaves_in) {
+void Runner::MarkLeaving(TimePoint now, Duration leaves_in) {
   if (drains_since_.has_value()) return;
   drains_since_ = now;
   leaves_at = now + leaves_in;
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -215,7 +215,7 @@
   TimePoint unlisted_at() const { return unlisted_at_; }
   /// Notes that the runner leaves, `leaves_in` from now at the earliest,
   /// though its entry did not say so.
-  void TakeForLeaving(TimePoint now, Duration leaves_in);
+  void MarkLeaving(TimePoint now, Duration leaves_in);
   /// When the runner was first seen to leave; nothing while it does not.
   std::optional<TimePoint> drains_since() const { return drains_since_; }
 
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -363,7 +363,7 @@
   before->failures_in_a_row = 2;
   before->avoid_until = now + Duration(60000);
   before->suspect_until = now + Duration(60000);
-  before->TakeForLeaving(now, Duration(1000));
+  before->MarkLeaving(now, Duration(1000));
   before->ended = true;
   before->waiting_starts.emplace_back(
       TaskName{JobId("00000000000000aa"), 0, 0, 0}, 1);
