--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -247,7 +247,7 @@
   for (auto loss = task->losses.begin(); loss != task->losses.end();) {
     const bool open = loss->incarnation == incarnation && !loss->crashed;
     changed = changed || open;
-    if (open && fate == IncarnationFate::kLives) {
+    if (open && fate == IncarnationFate::kAlive) {
       loss = task->losses.erase(loss);
       continue;
     }
--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -35,7 +35,7 @@
 /// What became of a life of a runner that runs were lost with.
 enum class IncarnationFate {
   /// It answers: it was cut off, and the runs were lost by chance.
-  kLives,
+  kAlive,
   kCrashed,
   /// Nothing was heard of it for so long that it counts as crashed. It may have
   /// been cut off all the while: that is no ground to suspect a task.
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -39,7 +39,7 @@
 /// Whether it lives, for logs.
 const char* ToString(IncarnationFate fate) {
   switch (fate) {
-    case IncarnationFate::kLives:
+    case IncarnationFate::kAlive:
       return "yes";
     case IncarnationFate::kCrashed:
       return "no";
@@ -234,13 +234,13 @@
 void Scheduler::NoteHeard(Context& ctx, Runner* runner, std::int64_t clock_ms) {
   fleet_.NoteHeard(runner, ctx.now(), clock_ms);
   if (!losses_.HasUnresolved()) return;
-  ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kLives);
+  ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kAlive);
   // One that was followed by another does not live on.
   for (const IncarnationId& before :
        losses_.EarlierIncarnations(runner->incarnation())) {
     ResolveLosses(ctx, before,
                   IsReported(before.start_time) ? IncarnationFate::kCrashed
-                                                : IncarnationFate::kLives);
+                                                : IncarnationFate::kAlive);
   }
 }
 
