--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -271,7 +271,7 @@
   if (MayBeGranted(now)) held_ends_.clear();
 }
 
-bool Runner::LeftAsKnown() const {
+bool Runner::LeftAsAnnounced() const {
   // One that never answered may have gone in any way.
   if (!heard_ || !drains_since_.has_value()) return false;
   return !silent_since_.has_value() || *drains_since_ <= *silent_since_;
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -247,7 +247,7 @@
   /// while the newest call was answered.
   std::optional<TimePoint> silent_since() const { return silent_since_; }
   /// True if the runner was known to leave before it fell silent.
-  bool LeftAsKnown() const;
+  bool LeftAsAnnounced() const;
 
   /// The end of a lease of `length` from now on the runner's clock; notes that
   /// it may be granted. Precondition: `heard()`.
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -78,7 +78,7 @@
            {"kept", std::to_string(moved.size())},
            {"to_be_ruled_out", std::to_string(to_bar.size())}});
   const RunnerEnd how =
-      before->LeftAsKnown() ? RunnerEnd::kLeft : RunnerEnd::kCrashed;
+      before->LeftAsAnnounced() ? RunnerEnd::kLeft : RunnerEnd::kCrashed;
   LoseRuns(ctx, before, lost, how, to_bar);
   for (const TaskName& name : never) {
     EndRun(ctx, before, name, RunEnd::kRejected, "");
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -154,7 +154,7 @@
   for (const LostRunner& other : lost) known.insert(other.incarnation);
   for (const auto& [id, other] : fleet_.runners()) {
     const std::optional<TimePoint> since = other->silent_since();
-    if (!since.has_value() || other->LeftAsKnown()) continue;
+    if (!since.has_value() || other->LeftAsAnnounced()) continue;
     const bool same_moment = *since <= moment + rules.same_moment &&
                              moment <= *since + rules.same_moment;
     if (!same_moment || !known.insert(other->incarnation()).second) continue;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -181,7 +181,7 @@
   std::vector<TaskName> names;
   for (const auto& [name, run] : runner->runs()) names.push_back(name);
   LoseRuns(ctx, runner, names,
-           runner->LeftAsKnown() ? RunnerEnd::kLeft : RunnerEnd::kCrashed);
+           runner->LeftAsAnnounced() ? RunnerEnd::kLeft : RunnerEnd::kCrashed);
   runner->ended = true;
   ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kCrashed);
 }
@@ -208,7 +208,7 @@
   }
   if (lapsed.empty()) return;
   LoseRuns(ctx, runner, lapsed,
-           runner->LeftAsKnown() ? RunnerEnd::kLeft : RunnerEnd::kUnknown);
+           runner->LeftAsAnnounced() ? RunnerEnd::kLeft : RunnerEnd::kUnknown);
 }
 
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
