--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -253,7 +253,7 @@
     }
     if (open) {
       loss->crashed = true;
-      if (fate == IncarnationFate::kNeverHeardOf) loss->suspicious = false;
+      if (fate == IncarnationFate::kPresumedCrashed) loss->suspicious = false;
     }
     ++loss;
   }
--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -39,7 +39,7 @@
   kCrashed,
   /// Nothing was heard of it for so long that it counts as crashed. It may have
   /// been cut off all the while: that is no ground to suspect a task.
-  kNeverHeardOf,
+  kPresumedCrashed,
 };
 
 /// When runs that went with their runners tell against their task. Over 1,000
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -43,7 +43,7 @@
       return "yes";
     case IncarnationFate::kCrashed:
       return "no";
-    case IncarnationFate::kNeverHeardOf:
+    case IncarnationFate::kPresumedCrashed:
       return "never heard of";
   }
   return "";
@@ -192,7 +192,7 @@
 void Scheduler::SettleOverdue(Context& ctx) {
   if (!losses_.HasUnresolved()) return;
   for (const IncarnationId& incarnation : losses_.Overdue(ctx.now())) {
-    ResolveLosses(ctx, incarnation, IncarnationFate::kNeverHeardOf);
+    ResolveLosses(ctx, incarnation, IncarnationFate::kPresumedCrashed);
   }
 }
 
