--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -211,8 +211,8 @@
   return used.Fits(info_.room);
 }
 
-UnwantedRun& Runner::AddUnwanted(const RunKey& key, const Resources& need) {
-  const auto [it, added] = unwanted_.emplace(key, UnwantedRun());
+OrphanedRun& Runner::AddUnwanted(const RunKey& key, const Resources& need) {
+  const auto [it, added] = unwanted_.emplace(key, OrphanedRun());
   if (added) {
     it->second.need = need;
     free_room_ -= need;
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -145,7 +145,7 @@
 inline constexpr double kSlowRunner = 2.2;
 
 /// A run that nobody waits for, and that a runner lists or may still begin.
-struct UnwantedRun {
+struct OrphanedRun {
   StopRequest stop;
   /// What it takes of the runner's room.
   Resources need;
@@ -319,9 +319,9 @@
   /// False while the lease is to run out.
   bool MayBeGranted(TimePoint now) const { return now >= no_grant_until_; }
   /// Runs that the runner listed and that nobody waits for.
-  std::map<RunKey, UnwantedRun>& unwanted() { return unwanted_; }
+  std::map<RunKey, OrphanedRun>& unwanted() { return unwanted_; }
   /// Notes a run that nobody waits for; it takes `need` until it is forgotten.
-  UnwantedRun& AddUnwanted(const RunKey& key, const Resources& need);
+  OrphanedRun& AddUnwanted(const RunKey& key, const Resources& need);
   /// Forgets those that are not among `there` any more.
   void ForgetUnwantedBut(const std::set<RunKey>& there);
   /// Nothing is placed here before this moment.
@@ -375,7 +375,7 @@
   TimePoint unlisted_at_;
   std::optional<TimePoint> drains_since_;
   std::map<TaskName, Run> runs_;
-  std::map<RunKey, UnwantedRun> unwanted_;
+  std::map<RunKey, OrphanedRun> unwanted_;
   Resources free_room_ = info_.room;
   std::map<Sharing, int> sharing_;
   double slowness_ = 1;
