--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -226,7 +226,7 @@
   if (found != closed_.end()) found->second = now;
 }
 
-std::vector<JobId> JobBook::StoredFinalBefore(TimePoint moment) const {
+std::vector<JobId> JobBook::FinalizedBefore(TimePoint moment) const {
   std::vector<JobId> stored;
   for (const auto& [id, since] : closed_) {
     if (since.has_value() && *since < moment) stored.push_back(id);
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -77,7 +77,7 @@
   /// Notes that the closed job's final state is in the store.
   void NoteFinalStored(const JobId& id, TimePoint now);
   /// Closed jobs whose final state is in the store since before `moment`.
-  std::vector<JobId> StoredFinalBefore(TimePoint moment) const;
+  std::vector<JobId> FinalizedBefore(TimePoint moment) const;
   /// Forgets a final job. Precondition: its row is removed, or it would be
   /// taken for a new one.
   void Forget(const JobId& id) { closed_.erase(id); }
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -172,10 +172,10 @@
 TEST(JobBook, FinalJobIsClearedOnlyOnceItsStateIsStored) {
   ReadJob(EncodeProgress(Job(*DecodeJobSpec(EncodedJob()))), EncodedJob());
   book.Close(JobId(id));
-  CHECK_TRUE(book.StoredFinalBefore(now + Duration(1000000)).empty());
+  CHECK_TRUE(book.FinalizedBefore(now + Duration(1000000)).empty());
   book.NoteFinalStored(JobId(id), now);
-  CHECK_TRUE(book.StoredFinalBefore(now).empty());
-  LONGS_EQUAL(1, book.StoredFinalBefore(now + Duration(1)).size());
+  CHECK_TRUE(book.FinalizedBefore(now).empty());
+  LONGS_EQUAL(1, book.FinalizedBefore(now + Duration(1)).size());
 }
 
 // A call that followed the table told of a cancelling before the second page of
