--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -211,7 +211,7 @@
   return used.Fits(info_.room);
 }
 
-OrphanedRun& Runner::AddUnwanted(const RunKey& key, const Resources& need) {
+OrphanedRun& Runner::AddOrphan(const RunKey& key, const Resources& need) {
   const auto [it, added] = unwanted_.emplace(key, OrphanedRun());
   if (added) {
     it->second.need = need;
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -321,7 +321,7 @@
   /// Runs that the runner listed and that nobody waits for.
   std::map<RunKey, OrphanedRun>& unwanted() { return unwanted_; }
   /// Notes a run that nobody waits for; it takes `need` until it is forgotten.
-  OrphanedRun& AddUnwanted(const RunKey& key, const Resources& need);
+  OrphanedRun& AddOrphan(const RunKey& key, const Resources& need);
   /// Forgets those that are not among `there` any more.
   void ForgetUnwantedBut(const std::set<RunKey>& there);
   /// Nothing is placed here before this moment.
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -345,8 +345,8 @@
     // Nobody waits for it any more. Looks may come hundreds of times a second;
     // a stop with each would hold up all other orders to this runner.
     runner
-        ->AddUnwanted({listed.task, listed.run},
-                      NeedOfUnwanted(*runner, listed.task))
+        ->AddOrphan({listed.task, listed.run},
+                    NeedOfUnwanted(*runner, listed.task))
         .stop.Want(ctx.now(), options_.stop_patience);
     orders_due_.insert(runner->id());
     return;
