--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -221,7 +221,7 @@
   closed_[id] = std::nullopt;
 }
 
-void JobBook::NoteFinalStored(const JobId& id, TimePoint now) {
+void JobBook::RecordFinalStored(const JobId& id, TimePoint now) {
   const auto found = closed_.find(id);
   if (found != closed_.end()) found->second = now;
 }
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -75,7 +75,7 @@
   /// Notes that the job is final; its tasks are forgotten.
   void Close(const JobId& id);
   /// Notes that the closed job's final state is in the store.
-  void NoteFinalStored(const JobId& id, TimePoint now);
+  void RecordFinalStored(const JobId& id, TimePoint now);
   /// Closed jobs whose final state is in the store since before `moment`.
   std::vector<JobId> FinalizedBefore(TimePoint moment) const;
   /// Forgets a final job. Precondition: its row is removed, or it would be
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -162,7 +162,7 @@
   writer_.Mark({kProgressTable, id.value()},
                [text = EncodeProgress(*job)] { return text; });
   writer_.After({kProgressTable, id.value()}, [this, id](Context& later) {
-    book_.NoteFinalStored(id, later.now());
+    book_.RecordFinalStored(id, later.now());
   });
   advice_.Forget(id);
   book_.Close(id);
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -173,7 +173,7 @@
   ReadJob(EncodeProgress(Job(*DecodeJobSpec(EncodedJob()))), EncodedJob());
   book.Close(JobId(id));
   CHECK_TRUE(book.FinalizedBefore(now + Duration(1000000)).empty());
-  book.NoteFinalStored(JobId(id), now);
+  book.RecordFinalStored(JobId(id), now);
   CHECK_TRUE(book.FinalizedBefore(now).empty());
   LONGS_EQUAL(1, book.FinalizedBefore(now + Duration(1)).size());
 }
