--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -220,7 +220,7 @@
   return it->second;
 }
 
-void Runner::ForgetUnwantedBut(const std::set<RunKey>& there) {
+void Runner::RemoveOrphansExcept(const std::set<RunKey>& there) {
   for (auto it = unwanted_.begin(); it != unwanted_.end();) {
     const bool over = there.count(it->first) == 0 && !it->second.may_come &&
                       !it->second.stop.in_flight();
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -323,7 +323,7 @@
   /// Notes a run that nobody waits for; it takes `need` until it is forgotten.
   OrphanedRun& AddOrphan(const RunKey& key, const Resources& need);
   /// Forgets those that are not among `there` any more.
-  void ForgetUnwantedBut(const std::set<RunKey>& there);
+  void RemoveOrphansExcept(const std::set<RunKey>& there);
   /// Nothing is placed here before this moment.
   TimePoint avoid_until;
   /// A run failed here, and none was done since: others are used first until
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -389,7 +389,7 @@
                                const std::vector<ReportedRun>& running) {
   std::set<RunKey> there;
   for (const ReportedRun& run : running) there.insert({run.task, run.run});
-  runner->ForgetUnwantedBut(there);
+  runner->RemoveOrphansExcept(there);
 }
 
 void Scheduler::TakeAbsent(Context& ctx, Runner* runner,
