--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -60,7 +60,9 @@
   /// said of it.
   bool Knows(const JobId& id) const;
   /// True once every part was read.
-  bool KnowsAll() const { return parts_read_.size() == kJobPartitions; }
+  bool HasReadAllPartitions() const {
+    return parts_read_.size() == kJobPartitions;
+  }
 
   bool Owns(Ticket ticket) const;
   /// Takes in an answer to a call of this book (`Owns`); returns the jobs that
--- a/src/dispatch/planner_steps.cc
+++ b/src/dispatch/planner_steps.cc
@@ -106,7 +106,7 @@
 }
 
 bool Planner::Pass::MayOverfill(const ServiceId& service) const {
-  if (jobs_.KnowsAll() && knows_rooms_) return false;
+  if (jobs_.HasReadAllPartitions() && knows_rooms_) return false;
   const auto found = catalog_.services.find(service);
   return found == catalog_.services.end() || !found->second.enforces_capacity;
 }
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -308,7 +308,7 @@
   SendOrders(ctx);
   // The runners are only known by what is assigned to them once all is read.
   if (book_.loaded()) {
-    fleet_.Poll(ctx, writer_.epoch(), may_renew, book_.KnowsAll());
+    fleet_.Poll(ctx, writer_.epoch(), may_renew, book_.HasReadAllPartitions());
   }
   writer_.Flush(ctx);
 }
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -130,7 +130,7 @@
   CHECK_FALSE(book.Knows(JobId(id)));
   ReadJob(EncodeProgress(Job(*DecodeJobSpec(EncodedJob()))), EncodedJob());
   CHECK_TRUE(book.Knows(JobId(id)));
-  CHECK_TRUE(book.KnowsAll());
+  CHECK_TRUE(book.HasReadAllPartitions());
   CHECK_TRUE(book.Find(JobId(id)) != nullptr);
   CHECK_TRUE(book.TakeOrphans().empty());
 }
