--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -319,7 +319,7 @@
   /// False while the lease is to run out.
   bool MayBeGranted(TimePoint now) const { return now >= no_grant_until_; }
   /// Runs that the runner listed and that nobody waits for.
-  std::map<RunKey, OrphanedRun>& unwanted() { return unwanted_; }
+  std::map<RunKey, OrphanedRun>& orphans() { return unwanted_; }
   /// Notes a run that nobody waits for; it takes `need` until it is forgotten.
   OrphanedRun& AddOrphan(const RunKey& key, const Resources& need);
   /// Forgets those that are not among `there` any more.
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -163,9 +163,9 @@
 void Scheduler::BarLateStarts(Context& ctx, Runner* next) {
   for (const auto& [key, start] : next->late_orders.StartsAfter(ctx.now())) {
     if (next->FindRun(key.first, key.second) != nullptr) continue;
-    OrphanedRun& unwanted = next->AddOrphan(key, start.need);
-    unwanted.may_come = true;
-    unwanted.stop.Want(ctx.now(), options_.stop_patience);
+    OrphanedRun& orphans = next->AddOrphan(key, start.need);
+    orphans.may_come = true;
+    orphans.stop.Want(ctx.now(), options_.stop_patience);
   }
   orders_due_.insert(next->id());
 }
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -172,9 +172,9 @@
     SendStop(ctx, runner, name, run.number, &run.stop);
     return true;
   }
-  for (auto& [run, unwanted] : runner->unwanted()) {
-    if (!unwanted.stop.wanted()) continue;
-    SendStop(ctx, runner, run.first, run.second, &unwanted.stop);
+  for (auto& [run, orphans] : runner->orphans()) {
+    if (!orphans.stop.wanted()) continue;
+    SendStop(ctx, runner, run.first, run.second, &orphans.stop);
     return true;
   }
   return false;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -129,10 +129,10 @@
   }
   const bool answered = answer.outcome == OrderOutcome::kDone ||
                         answer.outcome == OrderOutcome::kStaleRun;
-  const auto unwanted = runner->unwanted().find({answer.task, answer.run});
-  if (unwanted != runner->unwanted().end()) {
-    unwanted->second.stop.Answered(answered);
-    if (answered) unwanted->second.may_come = false;
+  const auto orphans = runner->orphans().find({answer.task, answer.run});
+  if (orphans != runner->orphans().end()) {
+    orphans->second.stop.Answered(answered);
+    if (answered) orphans->second.may_come = false;
   }
   Run* run = runner->FindRun(answer.task, answer.run);
   if (run == nullptr) return LeaseStatus::kHeld;
