--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -34,7 +34,7 @@
   }
   const bool waits_for_parts = !loaded_ && !parts_read_.empty();
   if (!waits_for_parts) return next;
-  return std::min(next, jobs_asked_at_ + options_.part_patience);
+  return std::min(next, jobs_asked_at_ + options_.partition_timeout);
 }
 
 void JobBook::BeginReadingJobs(TimePoint now) {
@@ -76,7 +76,7 @@
   }
   // Runs of the jobs that are known must not lapse for a part that is away.
   const bool waited = stage_ == Stage::kReadJobs && !parts_read_.empty() &&
-                      ctx.now() - jobs_asked_at_ >= options_.part_patience;
+                      ctx.now() - jobs_asked_at_ >= options_.partition_timeout;
   loaded_ = loaded_ || waited;
   const bool follows =
       MayFollow() && !follow_under_way_ && ctx.now() >= follow_at_;
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -32,7 +32,7 @@
   /// Scheduling goes on without a part that can not be read for so long: a few
   /// readings of an ordinary store, and less than what is left of the runs'
   /// leases after a take-over.
-  Duration part_patience{700};
+  Duration partition_timeout{700};
   /// Rows of one reading; the store's own limit.
   int page_rows = 500;
 };
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -140,7 +140,7 @@
 TEST(JobBook, BookThatCanReadNothingSleepsBetweenItsTries) {
   Answer(Work().front());
   for (int i = 0; i < 3; ++i) {
-    now = now + JobRegistryOptions().part_patience;
+    now = now + JobRegistryOptions().partition_timeout;
     for (const Effect& read : Work()) Refuse(read);
     CHECK_TRUE(book.next_at() > now);
     CHECK_FALSE(book.loaded());
@@ -193,7 +193,7 @@
       Answer(read, {}, 10);
     }
   }
-  now = now + JobRegistryOptions().part_patience;
+  now = now + JobRegistryOptions().partition_timeout;
   const Effects asked = Work();
   LONGS_EQUAL(2, asked.size());
   const Row cancel = MakeRow(kJobTable, id + kCancelSuffix, "{}");
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -181,7 +181,7 @@
   answer(work().front(), 10);
   const dispatch::Effects reads = work();
   for (std::size_t i = 1; i < reads.size(); ++i) answer(reads[i], 100);
-  now = now + dispatch::JobRegistryOptions().part_patience;
+  now = now + dispatch::JobRegistryOptions().partition_timeout;
   const auto first = std::get<dispatch::AwaitChanges>(work().front());
   LONGS_EQUAL(100, first.after.value());
   answer(reads[0], 50);
