--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -222,7 +222,8 @@
 
 void Runner::RemoveOrphansExcept(const std::set<RunKey>& there) {
   for (auto it = unwanted_.begin(); it != unwanted_.end();) {
-    const bool over = there.count(it->first) == 0 && !it->second.may_come &&
+    const bool over = there.count(it->first) == 0 &&
+                      !it->second.may_start_late &&
                       !it->second.stop.in_flight();
     if (over) free_room_ += it->second.need;
     it = over ? unwanted_.erase(it) : std::next(it);
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -151,7 +151,7 @@
   Resources need;
   /// Its start was sent to a life before and may come late; it is kept until
   /// the runner has obeyed the stop, which rules it out.
-  bool may_come = false;
+  bool may_start_late = false;
 };
 
 /// How long the run will still take, by its progress where it shows any. Safe
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -40,9 +40,10 @@
   // Judged by the life that it was stored for.
   if (run.phase == RunPhase::kInherited) return NextLifeRole::kIsThere;
   // A start without an answer may be what the life before went by.
-  const bool may_come = run.phase == RunPhase::kStarting ||
-                        before.late_orders.MayCome({name, run.number}, now);
-  return may_come ? NextLifeRole::kLostAndMayCome : NextLifeRole::kLost;
+  const bool may_start_late =
+      run.phase == RunPhase::kStarting ||
+      before.late_orders.MayCome({name, run.number}, now);
+  return may_start_late ? NextLifeRole::kLostAndMayCome : NextLifeRole::kLost;
 }
 
 Runner* Scheduler::StartIncarnation(Context& ctx, Runner* before,
@@ -164,7 +165,7 @@
   for (const auto& [key, start] : next->late_orders.StartsAfter(ctx.now())) {
     if (next->FindRun(key.first, key.second) != nullptr) continue;
     OrphanedRun& orphans = next->AddOrphan(key, start.need);
-    orphans.may_come = true;
+    orphans.may_start_late = true;
     orphans.stop.Want(ctx.now(), options_.stop_patience);
   }
   orders_due_.insert(next->id());
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -132,7 +132,7 @@
   const auto orphans = runner->orphans().find({answer.task, answer.run});
   if (orphans != runner->orphans().end()) {
     orphans->second.stop.Answered(answered);
-    if (answered) orphans->second.may_come = false;
+    if (answered) orphans->second.may_start_late = false;
   }
   Run* run = runner->FindRun(answer.task, answer.run);
   if (run == nullptr) return LeaseStatus::kHeld;
