--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -63,9 +63,8 @@
   follow_under_way_ = true;
   follow_from_ = seen_;
   follow_call_ = ctx.NewTicket();
-  const Duration timeout =
-      options_.follow_wait + patience_->For(follow_misses_);
-  ctx.Emit(AwaitChanges{follow_call_, kJobTable, seen_, options_.follow_wait,
+  const Duration timeout = options_.watch_wait + patience_->For(follow_misses_);
+  ctx.Emit(AwaitChanges{follow_call_, kJobTable, seen_, options_.watch_wait,
                         timeout});
 }
 
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -26,7 +26,7 @@
 struct JobRegistryOptions {
   /// A following call is answered after this long without a change. Short: new
   /// jobs are not seen while one waits on a connection that went silent.
-  Duration follow_wait{500};
+  Duration watch_wait{500};
   /// Pause after a call that failed.
   Duration retry_pause{200};
   /// Scheduling goes on without a part that can not be read for so long: a few
