--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -390,7 +390,7 @@
     seat.rack = runner->rack();
     seat.room = runner->free_room();
     seat.suspect = now < runner->suspect_until;
-    seat.may_fail_immediately = runner->MayFailAtOnce(now);
+    seat.may_fail_immediately = runner->MayFailImmediately(now);
     seat.tried = runner->IsTried();
     seat.fillers = runner->CountSharing(Sharing::kBestEffort);
     seat.serving = runner->CountSharing(Sharing::kLatencySensitive);
--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -187,7 +187,7 @@
   runs_.erase(found);
 }
 
-bool Runner::MayFailAtOnce(TimePoint now) const {
+bool Runner::MayFailImmediately(TimePoint now) const {
   if (!failed_at_once || now >= suspect_until) return false;
   return std::none_of(runs_.begin(), runs_.end(), [&](const auto& entry) {
     const Run& run = entry.second;
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -335,7 +335,7 @@
   bool failed_at_once = false;
   /// True while it may still fail all that it starts: no run that began since
   /// has been well for long enough to tell.
-  bool MayFailAtOnce(TimePoint now) const;
+  bool MayFailImmediately(TimePoint now) const;
   /// True if a run that was assigned since tries that.
   bool IsTried() const;
   /// Runs that failed one after the other: quickly, or of different jobs.
