--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -29,7 +29,7 @@
   }
   if (under_way_ || ctx.now() < next_at_) return;
   const std::vector<JobId> old =
-      book->FinalizedBefore(ctx.now() - options_.keep_final);
+      book->FinalizedBefore(ctx.now() - options_.job_retention);
   if (old.empty()) return;
   jobs_ = ChooseJobs(old);
   under_way_ = true;
--- a/src/dispatch/job_cleaner.h
+++ b/src/dispatch/job_cleaner.h
@@ -19,7 +19,7 @@
 /// Timing and size of clearing jobs away.
 struct JobCleanerOptions {
   /// States are promised for 120 s; some more for slow callers.
-  Duration keep_final{180000};
+  Duration job_retention{180000};
   /// Pause after rows could not be removed, as while a part is away.
   Duration retry_pause{1000};
   /// Jobs of one transaction: two rows each, below the store's limit of 100
