--- a/test/dispatch-course.h
+++ b/test/dispatch-course.h
@@ -28,10 +28,10 @@
 enum class FaultMix { kAll, kLostAnswers };
 
 /// One random course over a system.
-class Course {
+class Simulation {
  public:
-  Course(int seed, const dispatch::PlanningPolicy& policy,
-         Restarts restarts = Restarts::kRare, FaultMix mix = FaultMix::kAll)
+  Simulation(int seed, const dispatch::PlanningPolicy& policy,
+             Restarts restarts = Restarts::kRare, FaultMix mix = FaultMix::kAll)
       : random_(static_cast<std::uint64_t>(seed)),
         restarts_(restarts),
         mix_(mix),
--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -37,7 +37,7 @@
   Outcome all;
   for (int i = 0; i < CoursesOr(kCourses); ++i) {
     const int seed = FirstSeed() + i;
-    Course course(seed, dispatch::DefaultPlanningPolicy(), restarts);
+    Simulation course(seed, dispatch::DefaultPlanningPolicy(), restarts);
     const std::vector<std::string> wrong = course.Play();
     all.jobs += course.jobs();
     all.given_up += course.given_up();
