--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -188,7 +188,7 @@
 }
 
 bool Runner::MayFailImmediately(TimePoint now) const {
-  if (!failed_at_once || now >= suspect_until) return false;
+  if (!failed_immediately || now >= suspect_until) return false;
   return std::none_of(runs_.begin(), runs_.end(), [&](const auto& entry) {
     const Run& run = entry.second;
     return run.phase == RunPhase::kRunning && run.started_at > failed_at &&
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -332,7 +332,7 @@
   /// When the newest run that failed here ended.
   TimePoint failed_at;
   /// It failed as soon as it had begun, and none was done since.
-  bool failed_at_once = false;
+  bool failed_immediately = false;
   /// True while it may still fail all that it starts: no run that began since
   /// has been well for long enough to tell.
   bool MayFailImmediately(TimePoint now) const;
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -39,7 +39,7 @@
   // What began before the last failure says nothing of what begins now.
   if (run.started_at < runner->failed_at) return;
   runner->failures_in_a_row = 0;
-  runner->failed_at_once = false;
+  runner->failed_immediately = false;
   runner->suspect_until = TimePoint();
 }
 
@@ -48,7 +48,7 @@
   runner->suspect_until = ctx.now() + options_.failure_penalty;
   runner->failed_at = ctx.now();
   if (at_once) {
-    runner->failed_at_once = true;
+    runner->failed_immediately = true;
     // Others that began with it tell nothing more.
     if (ctx.now() >= runner->avoid_until) ++runner->failures_in_a_row;
     Rest(ctx, runner, "a run failed as soon as it had begun");
