--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -17,7 +17,7 @@
   std::vector<JobId> chosen;
   const std::string part = JobPartition(old.front().value());
   for (const JobId& id : old) {
-    if (chosen.size() == options_.most_jobs) break;
+    if (chosen.size() == options_.max_jobs) break;
     if (JobPartition(id.value()) == part) chosen.push_back(id);
   }
   return chosen;
--- a/src/dispatch/job_cleaner.h
+++ b/src/dispatch/job_cleaner.h
@@ -24,7 +24,7 @@
   Duration retry_pause{1000};
   /// Jobs of one transaction: two rows each, below the store's limit of 100
   /// entries.
-  std::size_t most_jobs = 48;
+  std::size_t max_jobs = 48;
   /// Bound on one call to the store.
   Duration call_timeout{1200};
 };
