--- a/test/dispatch-course.h
+++ b/test/dispatch-course.h
@@ -41,7 +41,7 @@
 
   /// Plays jobs and faults, then lets all come to rest. Returns what went
   /// wrong.
-  std::vector<std::string> Play() {
+  std::vector<std::string> Run() {
     system_.Run(Duration(3000));
     for (int i = 0; i < kSteps; ++i) {
       Step();
--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -38,7 +38,7 @@
   for (int i = 0; i < CoursesOr(kCourses); ++i) {
     const int seed = FirstSeed() + i;
     Simulation course(seed, dispatch::DefaultPlanningPolicy(), restarts);
-    const std::vector<std::string> wrong = course.Play();
+    const std::vector<std::string> wrong = course.Run();
     all.jobs += course.jobs();
     all.given_up += course.given_up();
     all.wrongly += course.given_up_wrongly();
