--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -202,7 +202,7 @@
   });
 }
 
-bool Runner::HasRoomFor(const Run& run) const {
+bool Runner::HasCapacityFor(const Run& run) const {
   Resources used = run.need;
   for (const auto& [name, other] : runs_) {
     if (!NeverBegan(other.phase)) used += other.need;
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -231,7 +231,7 @@
   const Resources& free_room() const { return free_room_; }
   /// True if the run fits beside all that may be there now: what was started or
   /// may still come, what is being stopped, and what nobody waits for.
-  bool HasRoomFor(const Run& run) const;
+  bool HasCapacityFor(const Run& run) const;
 
   /// Notes an answer of this life that carried the runner's clock.
   void Heard(TimePoint now, std::int64_t clock_ms);
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -140,7 +140,7 @@
   }
   if (!runner.reachable()) return StartObstacle::kRunnerSilent;
   if (!runner.MayBeGranted(now)) return StartObstacle::kLeaseRunsOut;
-  if (!runner.HasRoomFor(run)) return StartObstacle::kNoCapacity;
+  if (!runner.HasCapacityFor(run)) return StartObstacle::kNoCapacity;
   if (!GuardsRoom(runner) && !fleet_.KnowsRooms(now)) {
     return StartObstacle::kRoomUnconfirmed;
   }
