--- a/test/crash-fixture.h
+++ b/test/crash-fixture.h
@@ -17,7 +17,7 @@
 inline constexpr Duration kAtOnce{10};
 /// Most starts of a task that crashes its runners: none after the third crash
 /// may be the third.
-inline constexpr int kMostStarts = 5;
+inline constexpr int kMaxStarts = 5;
 
 /// An emulated system, and jobs whose first task crashes its runners.
 class CrashFixture : public SchedulerFixture {
--- a/test/crash-test.cc
+++ b/test/crash-test.cc
@@ -24,7 +24,7 @@
   const JobId job = SubmitCrashing(Step(1, 1, Duration(2500)), kAtOnce);
   system.Run(Duration(60000));
   STRCMP_EQUAL("failed", system.StateOf(job).c_str());
-  CHECK_TRUE(StartsOfFirst(job) <= kMostStarts);
+  CHECK_TRUE(StartsOfFirst(job) <= kMaxStarts);
   CheckNoViolation();
 }
 
@@ -32,7 +32,7 @@
   const JobId job = SubmitCrashing(Step(1, 1, Duration(9000)), Duration(6000));
   system.Run(Duration(90000));
   STRCMP_EQUAL("failed", system.StateOf(job).c_str());
-  CHECK_TRUE(StartsOfFirst(job) <= kMostStarts);
+  CHECK_TRUE(StartsOfFirst(job) <= kMaxStarts);
   CheckNoViolation();
 }
 
@@ -42,7 +42,7 @@
   const JobId job = SubmitCrashing(gang, kAtOnce);
   system.Run(Duration(60000));
   STRCMP_EQUAL("failed", system.StateOf(job).c_str());
-  CHECK_TRUE(StartsOfFirst(job) <= kMostStarts);
+  CHECK_TRUE(StartsOfFirst(job) <= kMaxStarts);
   CheckNoViolation();
 }
 
@@ -54,7 +54,7 @@
   }
   system.Run(Duration(20000));
   STRCMP_EQUAL("failed", system.StateOf(job).c_str());
-  CHECK_TRUE(StartsOfFirst(job) <= kMostStarts);
+  CHECK_TRUE(StartsOfFirst(job) <= kMaxStarts);
   CheckNoViolation();
 }
 
@@ -71,7 +71,7 @@
   const JobId job = slow.Submit(spec, {truth});
   slow.Run(Duration(90000));
   STRCMP_EQUAL("failed", slow.StateOf(job).c_str());
-  CHECK_TRUE(slow.jobs().at(job).starts.begin()->second <= kMostStarts);
+  CHECK_TRUE(slow.jobs().at(job).starts.begin()->second <= kMaxStarts);
   for (const std::string& what : slow.violations()) FAIL(what.c_str());
 }
 
--- a/test/reborn-test.cc
+++ b/test/reborn-test.cc
@@ -166,7 +166,7 @@
   const JobId job = fleet.Submit(spec, {truth});
   fleet.Run(Duration(60000));
   STRCMP_EQUAL("failed", fleet.StateOf(job).c_str());
-  CHECK_TRUE(fleet.jobs().at(job).starts.begin()->second <= kMostStarts);
+  CHECK_TRUE(fleet.jobs().at(job).starts.begin()->second <= kMaxStarts);
   for (const std::string& what : fleet.violations()) FAIL(what.c_str());
 }
 
