--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -281,7 +281,7 @@
 ;
 
 TEST(CancelFuzz, NothingRunsOnOfCancelledJobs) {
-  LONGS_EQUAL(0, CountBroken(FirstSeed(), CoursesOr(kCourses)));
+  LONGS_EQUAL(0, CountBroken(FirstSeed(), RunCountOr(kCourses)));
 }
 
 }  // namespace limeledge::emulator
--- a/test/course-settings.h
+++ b/test/course-settings.h
@@ -16,7 +16,7 @@
 namespace limeledge::emulator {
 
 /// Courses of one run: LIMELEDGE_COURSES, or `usual`.
-inline int CoursesOr(int usual) {
+inline int RunCountOr(int usual) {
   const char* wanted = std::getenv("LIMELEDGE_COURSES");
   return wanted == nullptr ? usual : std::atoi(wanted);
 }
--- a/test/crash-fuzz-test.cc
+++ b/test/crash-fuzz-test.cc
@@ -235,7 +235,7 @@
 /// Plays courses, checks what came of them, and prints it.
 void PlayCourses(bool keeps_ids) {
   Outcome all;
-  for (int i = 0; i < CoursesOr(kCourses); ++i) {
+  for (int i = 0; i < RunCountOr(kCourses); ++i) {
     const int seed = FirstSeed() + i;
     const Outcome outcome = CrashCourse(seed, keeps_ids).Play();
     all += outcome;
--- a/test/dispatch-fuzz-test.cc
+++ b/test/dispatch-fuzz-test.cc
@@ -44,7 +44,7 @@
 
 TEST(DispatchFuzz, RandomCoursesBreakNoPromise) {
   LONGS_EQUAL(
-      0, CountBroken(CoursesOr(kCourses), dispatch::DefaultPlanningPolicy()));
+      0, CountBroken(RunCountOr(kCourses), dispatch::DefaultPlanningPolicy()));
 }
 
 // Once, a task ran again though an end of it as done was taken note of, while
@@ -56,7 +56,7 @@
 // that it is known, before its lease ever ran out.
 TEST(DispatchFuzz, NoTaskRunsAgainAfterAnEndThatCountsWhereAnswersAreLost) {
   LONGS_EQUAL(
-      0, CountBroken(CoursesOr(kCourses), dispatch::DefaultPlanningPolicy(),
+      0, CountBroken(RunCountOr(kCourses), dispatch::DefaultPlanningPolicy(),
                      FaultMix::kLostAnswers));
 }
 
@@ -71,7 +71,7 @@
 TEST(DispatchFuzz, RandomCoursesUnderEachPolicyBreakNoPromise) {
   constexpr int kShareOfCourses = 4;
   for (const std::string& name : dispatch::PlanningPolicyNames()) {
-    LONGS_EQUAL(0, CountBroken(CoursesOr(kCourses) / kShareOfCourses,
+    LONGS_EQUAL(0, CountBroken(RunCountOr(kCourses) / kShareOfCourses,
                                *dispatch::FindPlanningPolicy(name)));
   }
 }
--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -35,7 +35,7 @@
 
 Outcome PlayCourses(Restarts restarts) {
   Outcome all;
-  for (int i = 0; i < CoursesOr(kCourses); ++i) {
+  for (int i = 0; i < RunCountOr(kCourses); ++i) {
     const int seed = FirstSeed() + i;
     Simulation course(seed, dispatch::DefaultPlanningPolicy(), restarts);
     const std::vector<std::string> wrong = course.Run();
--- a/test/room-fuzz-test.cc
+++ b/test/room-fuzz-test.cc
@@ -144,7 +144,7 @@
 
 TEST(RoomFuzz, RoomsThatChangeAreNeverOverfilled) {
   int broken = 0;
-  for (int i = 0; i < CoursesOr(kCourses); ++i) {
+  for (int i = 0; i < RunCountOr(kCourses); ++i) {
     const int seed = FirstSeed() + i;
     const std::vector<std::string> wrong = RoomCourse(seed).Play();
     if (wrong.empty()) continue;
