--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -388,7 +388,7 @@
     Candidate seat;
     seat.runner = runner.get();
     seat.rack = runner->rack();
-    seat.room = runner->free_room();
+    seat.room = runner->free_capacity();
     seat.suspect = now < runner->suspect_until;
     seat.may_fail_immediately = runner->MayFailImmediately(now);
     seat.tried = runner->IsTried();
--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -154,7 +154,8 @@
     if (left <= 0) break;
     if (!Suits(seat, request)) continue;
     const int limit = std::min(left, LimitPerSeat(request, seat));
-    left -= CountFitting(request.step->room(), seat.runner->free_room(), limit);
+    left -=
+        CountFitting(request.step->room(), seat.runner->free_capacity(), limit);
   }
   return left <= 0;
 }
--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -84,7 +84,7 @@
   IdleAccelerators room;
   for (const Candidate& seat : seating_.seats()) {
     const std::int64_t idle = std::max<std::int64_t>(
-        0, seat.runner->free_room().accelerators - assigned[seat.runner]);
+        0, seat.runner->free_capacity().accelerators - assigned[seat.runner]);
     const std::int64_t open =
         std::clamp<std::int64_t>(seat.room.accelerators, 0, idle);
     room.all += seat.runner->info().room.accelerators;
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -228,7 +228,7 @@
   /// Runs here that share the processors in that way.
   int CountSharing(Sharing sharing) const;
   /// Room that no run takes; negative where the room shrank under them.
-  const Resources& free_room() const { return free_room_; }
+  const Resources& free_capacity() const { return free_room_; }
   /// True if the run fits beside all that may be there now: what was started or
   /// may still come, what is being stopped, and what nobody waits for.
   bool HasCapacityFor(const Run& run) const;
--- a/src/dispatch/scheduler_dump.cc
+++ b/src/dispatch/scheduler_dump.cc
@@ -44,9 +44,9 @@
       Json::Int64(std::max<std::int64_t>(0, (runner.avoid_until - now).ms()));
   json["slowness"] = runner.slowness();
   json["usual_pace"] = runner.usual_pace();
-  json["free_accelerators"] = Json::Int64(runner.free_room().accelerators);
-  json["free_cpu_millis"] = Json::Int64(runner.free_room().cpu_millis);
-  json["free_memory_mb"] = Json::Int64(runner.free_room().memory_mb);
+  json["free_accelerators"] = Json::Int64(runner.free_capacity().accelerators);
+  json["free_cpu_millis"] = Json::Int64(runner.free_capacity().cpu_millis);
+  json["free_memory_mb"] = Json::Int64(runner.free_capacity().memory_mb);
   json["lease_left_ms"] = Json::Int64(
       std::max<std::int64_t>(0, (runner.lease_expires_at() - now).ms()));
   json["unstored_ends"] =
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -385,7 +385,7 @@
   CHECK_FALSE(next->drains_since().has_value());
   CHECK_FALSE(next->ended);
   DOUBLES_EQUAL(1, next->slowness(), 0);
-  LONGS_EQUAL(8, next->free_room().accelerators);
+  LONGS_EQUAL(8, next->free_capacity().accelerators);
   CHECK_TRUE(next->lease_expires_at() <= now);
 }
 
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -40,7 +40,7 @@
       Candidate seat;
       seat.runner = runner.get();
       seat.rack = runner->rack();
-      seat.room = runner->free_room();
+      seat.room = runner->free_capacity();
       seats.push_back(std::move(seat));
     }
     return CandidatePool(std::move(seats));
