--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -23,7 +23,7 @@
   return chosen;
 }
 
-void JobCleaner::Work(Context& ctx, JobBook* book, StateWriter* writer) {
+void JobCleaner::Work(Context& ctx, JobRegistry* book, StateWriter* writer) {
   for (const JobId& id : book->TakeOrphans()) {
     writer->Remove({kProgressTable, id.value()});
   }
@@ -48,7 +48,7 @@
 }
 
 void JobCleaner::Handle(Context& ctx, const CommitCompleted& answer,
-                        JobBook* book, StateWriter* writer) {
+                        JobRegistry* book, StateWriter* writer) {
   under_way_ = false;
   if (answer.outcome != StoreOutcome::kDone) {
     // Removing what is gone already does no harm: all are tried again.
--- a/src/dispatch/job_cleaner.h
+++ b/src/dispatch/job_cleaner.h
@@ -42,11 +42,11 @@
   explicit JobCleaner(JobCleanerOptions options = {}) : options_(options) {}
 
   /// Sends the next removal if one is due.
-  void Work(Context& ctx, JobBook* book, StateWriter* writer);
+  void Work(Context& ctx, JobRegistry* book, StateWriter* writer);
 
   bool Owns(Ticket ticket) const { return under_way_ && call_ == ticket; }
   /// Takes in the answer of the removal under way.
-  void Handle(Context& ctx, const CommitCompleted& answer, JobBook* book,
+  void Handle(Context& ctx, const CommitCompleted& answer, JobRegistry* book,
               StateWriter* writer);
 
  private:
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -15,7 +15,7 @@
 
 namespace limeledge::dispatch {
 
-bool JobBook::Owns(Ticket ticket) const {
+bool JobRegistry::Owns(Ticket ticket) const {
   if (follow_under_way_ && follow_call_ == ticket) return true;
   return std::any_of(readings_.begin(), readings_.end(),
                      [ticket](const Reading& reading) {
@@ -23,11 +23,11 @@
                      });
 }
 
-bool JobBook::Knows(const JobId& id) const {
+bool JobRegistry::Knows(const JobId& id) const {
   return parts_read_.count(JobPartition(id.value())) != 0;
 }
 
-TimePoint JobBook::next_at() const {
+TimePoint JobRegistry::next_at() const {
   TimePoint next = MayFollow() && !follow_under_way_ ? follow_at_ : kNever;
   for (const Reading& reading : readings_) {
     if (!reading.under_way) next = std::min(next, reading.next_at);
@@ -37,7 +37,7 @@
   return std::min(next, jobs_asked_at_ + options_.partition_timeout);
 }
 
-void JobBook::BeginReadingJobs(TimePoint now) {
+void JobRegistry::BeginReadingJobs(TimePoint now) {
   stage_ = Stage::kReadJobs;
   jobs_asked_at_ = now;
   seen_ = Revision();
@@ -49,7 +49,7 @@
   }
 }
 
-void JobBook::Read(Context& ctx, Reading* reading) {
+void JobRegistry::Read(Context& ctx, Reading* reading) {
   reading->under_way = true;
   reading->call = ctx.NewTicket();
   const char* table =
@@ -59,7 +59,7 @@
                     patience_->For(reading->misses)});
 }
 
-void JobBook::Follow(Context& ctx) {
+void JobRegistry::Follow(Context& ctx) {
   follow_under_way_ = true;
   follow_from_ = seen_;
   follow_call_ = ctx.NewTicket();
@@ -68,7 +68,7 @@
                         timeout});
 }
 
-void JobBook::Work(Context& ctx) {
+void JobRegistry::Work(Context& ctx) {
   for (Reading& reading : readings_) {
     const bool due = !reading.under_way && ctx.now() >= reading.next_at;
     if (due) Read(ctx, &reading);
@@ -82,7 +82,8 @@
   if (follows) Follow(ctx);
 }
 
-std::vector<JobId> JobBook::Handle(Context& ctx, const ReadCompleted& answer) {
+std::vector<JobId> JobRegistry::Handle(Context& ctx,
+                                       const ReadCompleted& answer) {
   std::vector<JobId> changed;
   const auto reading = std::find_if(
       readings_.begin(), readings_.end(),
@@ -120,7 +121,7 @@
   return changed;
 }
 
-void JobBook::FinishReading(TimePoint now) {
+void JobRegistry::FinishReading(TimePoint now) {
   // Progress first: a job's row is there before its progress, so that no
   // progress is read for a job that is then taken for a new one.
   if (stage_ == Stage::kReadProgress) {
@@ -132,12 +133,12 @@
   progress_.clear();
 }
 
-std::vector<JobId> JobBook::TakeOrphans() {
+std::vector<JobId> JobRegistry::TakeOrphans() {
   return std::exchange(orphans_, {});
 }
 
-std::vector<JobId> JobBook::Handle(Context& ctx,
-                                   const ChangesReceived& answer) {
+std::vector<JobId> JobRegistry::Handle(Context& ctx,
+                                       const ChangesReceived& answer) {
   follow_under_way_ = false;
   std::vector<JobId> changed;
   if (answer.outcome == StoreOutcome::kHistoryCompacted) {
@@ -164,7 +165,8 @@
   return changed;
 }
 
-void JobBook::Store(Context& ctx, const Row& row, std::vector<JobId>* changed) {
+void JobRegistry::Store(Context& ctx, const Row& row,
+                        std::vector<JobId>* changed) {
   if (absl::EndsWith(row.key.key, kCancelSuffix)) {
     const auto id = absl::StripSuffix(row.key.key, kCancelSuffix);
     StoreCancel(JobId(std::string(id)), changed);
@@ -191,7 +193,7 @@
   changed->push_back(id);
 }
 
-bool JobBook::ReadProgress(Context& ctx, const JobId& id, Job* job) {
+bool JobRegistry::ReadProgress(Context& ctx, const JobId& id, Job* job) {
   const auto progress = progress_.find(id);
   if (progress == progress_.end()) return true;
   const absl::Status status = DecodeProgress(progress->second, job);
@@ -202,30 +204,30 @@
   return false;
 }
 
-void JobBook::StoreCancel(const JobId& id, std::vector<JobId>* changed) {
+void JobRegistry::StoreCancel(const JobId& id, std::vector<JobId>* changed) {
   Job* job = Find(id);
   if (job == nullptr || job->cancel_asked()) return;
   job->RequestCancel();
   changed->push_back(id);
 }
 
-Job* JobBook::Find(const JobId& id) {
+Job* JobRegistry::Find(const JobId& id) {
   const auto found = jobs_.find(id);
   return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-void JobBook::Close(const JobId& id) {
+void JobRegistry::Close(const JobId& id) {
   active_.erase(id);
   jobs_.erase(id);
   closed_[id] = std::nullopt;
 }
 
-void JobBook::RecordFinalStored(const JobId& id, TimePoint now) {
+void JobRegistry::RecordFinalStored(const JobId& id, TimePoint now) {
   const auto found = closed_.find(id);
   if (found != closed_.end()) found->second = now;
 }
 
-std::vector<JobId> JobBook::FinalizedBefore(TimePoint moment) const {
+std::vector<JobId> JobRegistry::FinalizedBefore(TimePoint moment) const {
   std::vector<JobId> stored;
   for (const auto& [id, since] : closed_) {
     if (since.has_value() && *since < moment) stored.push_back(id);
@@ -233,7 +235,7 @@
   return stored;
 }
 
-WaitingCounts JobBook::CountWaiting() const {
+WaitingCounts JobRegistry::CountWaiting() const {
   WaitingCounts counts;
   for (const JobId& id : active_) {
     const Job& job = *jobs_.at(id);
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -42,11 +42,11 @@
 /// it.
 ///
 /// Thread safety: none; use it from one thread.
-class JobBook {
+class JobRegistry {
  public:
   /// `patience` outlives this object.
-  explicit JobBook(const StoreTimeout* patience,
-                   JobRegistryOptions options = {})
+  explicit JobRegistry(const StoreTimeout* patience,
+                       JobRegistryOptions options = {})
       : options_(options), patience_(patience) {}
 
   /// Sends the next call when it is due.
--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -38,7 +38,7 @@
 
 Planner::Pass::Pass(Planner* planner, TimePoint now, std::int64_t wall_ms,
                     const Catalog& catalog, const RunTimeEstimator& times,
-                    const TicketCache& advice, JobBook* jobs, Fleet* fleet)
+                    const TicketCache& advice, JobRegistry* jobs, Fleet* fleet)
     : planner_(*planner),
       options_(planner->options_),
       now_(now),
@@ -113,7 +113,8 @@
 
 Plan Planner::Decide(TimePoint now, std::int64_t wall_ms,
                      const Catalog& catalog, const RunTimeEstimator& times,
-                     const TicketCache& advice, JobBook* jobs, Fleet* fleet) {
+                     const TicketCache& advice, JobRegistry* jobs,
+                     Fleet* fleet) {
   return Pass(this, now, wall_ms, catalog, times, advice, jobs, fleet).Decide();
 }
 
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -175,7 +175,7 @@
   /// `fleet` is not changed but for the time since when steps are ready.
   Plan Decide(TimePoint now, std::int64_t wall_ms, const Catalog& catalog,
               const RunTimeEstimator& times, const TicketCache& advice,
-              JobBook* jobs, Fleet* fleet);
+              JobRegistry* jobs, Fleet* fleet);
   /// When a step that waits for its due time or its patience comes next.
   TimePoint next_at() const { return next_at_; }
 
--- a/src/dispatch/planner_pass.h
+++ b/src/dispatch/planner_pass.h
@@ -32,7 +32,7 @@
   /// All that is given must outlive the pass.
   Pass(Planner* planner, TimePoint now, std::int64_t wall_ms,
        const Catalog& catalog, const RunTimeEstimator& times,
-       const TicketCache& advice, JobBook* jobs, Fleet* fleet);
+       const TicketCache& advice, JobRegistry* jobs, Fleet* fleet);
 
   /// Makes the pass. Call it once.
   Plan Decide();
@@ -202,7 +202,7 @@
   const Catalog& catalog_;
   const RunTimeEstimator& times_;
   const TicketCache& advice_;
-  JobBook& jobs_;
+  JobRegistry& jobs_;
   CandidatePool seating_;
   std::set<JobId> entitled_;
   /// All room of the urgent racks, whatever is taken of it.
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -366,7 +366,7 @@
   SchedulerOptions options_;
   const StoreTimeout* patience_;
   StateWriter writer_;
-  JobBook book_;
+  JobRegistry book_;
   JobCleaner cleaner_;
   Fleet fleet_;
   LossTracker losses_;
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -40,7 +40,7 @@
 // out if the store went away just then.
 TEST(Outage, BookThatReadsItsJobsAgainStaysLoaded) {
   const dispatch::StoreTimeout patience;
-  dispatch::JobBook book(&patience);
+  dispatch::JobRegistry book(&patience);
   dispatch::Ticket tickets;
   dispatch::Effects effects;
   dispatch::Context ctx(TimePoint(1000), 0, &tickets, &effects);
@@ -160,7 +160,7 @@
 // of that part that were handed in between were never seen.
 TEST(Outage, PartThatIsReadLateIsFollowedFromWhereItWasRead) {
   const dispatch::StoreTimeout patience;
-  dispatch::JobBook book(&patience);
+  dispatch::JobRegistry book(&patience);
   dispatch::Ticket tickets;
   dispatch::Effects effects;
   TimePoint now(1000);
