--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -21,7 +21,7 @@
 namespace {
 
 /// Courses of one run, unless more are asked for.
-constexpr int kCourses = 20;
+constexpr int kDefaultRunCount = 20;
 
 /// Jobs that go on for long, most of them cancelled soon; faults in bursts.
 class CancelCourse {
@@ -281,7 +281,7 @@
 ;
 
 TEST(CancelFuzz, NothingRunsOnOfCancelledJobs) {
-  LONGS_EQUAL(0, CountBroken(FirstSeed(), RunCountOr(kCourses)));
+  LONGS_EQUAL(0, CountBroken(FirstSeed(), RunCountOr(kDefaultRunCount)));
 }
 
 }  // namespace limeledge::emulator
--- a/test/crash-fuzz-test.cc
+++ b/test/crash-fuzz-test.cc
@@ -22,7 +22,7 @@
 namespace {
 
 /// Courses of one run, unless more are asked for.
-constexpr int kCourses = 30;
+constexpr int kDefaultRunCount = 30;
 /// Innocent jobs that may be given up, in a thousand; measured over 1,000
 /// courses in docs/DECISIONS.md.
 constexpr int kMostWrongInAThousand = 5;
@@ -235,7 +235,7 @@
 /// Plays courses, checks what came of them, and prints it.
 void PlayCourses(bool keeps_ids) {
   Outcome all;
-  for (int i = 0; i < RunCountOr(kCourses); ++i) {
+  for (int i = 0; i < RunCountOr(kDefaultRunCount); ++i) {
     const int seed = FirstSeed() + i;
     const Outcome outcome = CrashCourse(seed, keeps_ids).Play();
     all += outcome;
--- a/test/dispatch-fuzz-test.cc
+++ b/test/dispatch-fuzz-test.cc
@@ -15,7 +15,7 @@
 namespace {
 
 /// Courses of one run, unless more are asked for.
-constexpr int kCourses = 30;
+constexpr int kDefaultRunCount = 30;
 
 /// Plays a course; returns whether it broke a promise, which is printed.
 bool Breaks(int seed, const dispatch::PlanningPolicy& policy, FaultMix mix) {
@@ -43,8 +43,8 @@
 TEST_GROUP(DispatchFuzz){};
 
 TEST(DispatchFuzz, RandomCoursesBreakNoPromise) {
-  LONGS_EQUAL(
-      0, CountBroken(RunCountOr(kCourses), dispatch::DefaultPlanningPolicy()));
+  LONGS_EQUAL(0, CountBroken(RunCountOr(kDefaultRunCount),
+                             dispatch::DefaultPlanningPolicy()));
 }
 
 // Once, a task ran again though an end of it as done was taken note of, while
@@ -55,9 +55,9 @@
 // task began elsewhere, then the runner was heard, listed the end, and was told
 // that it is known, before its lease ever ran out.
 TEST(DispatchFuzz, NoTaskRunsAgainAfterAnEndThatCountsWhereAnswersAreLost) {
-  LONGS_EQUAL(
-      0, CountBroken(RunCountOr(kCourses), dispatch::DefaultPlanningPolicy(),
-                     FaultMix::kLostAnswers));
+  LONGS_EQUAL(0, CountBroken(RunCountOr(kDefaultRunCount),
+                             dispatch::DefaultPlanningPolicy(),
+                             FaultMix::kLostAnswers));
 }
 
 // Courses that broke that.
@@ -71,7 +71,7 @@
 TEST(DispatchFuzz, RandomCoursesUnderEachPolicyBreakNoPromise) {
   constexpr int kShareOfCourses = 4;
   for (const std::string& name : dispatch::PlanningPolicyNames()) {
-    LONGS_EQUAL(0, CountBroken(RunCountOr(kCourses) / kShareOfCourses,
+    LONGS_EQUAL(0, CountBroken(RunCountOr(kDefaultRunCount) / kShareOfCourses,
                                *dispatch::FindPlanningPolicy(name)));
   }
 }
--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -17,7 +17,7 @@
 namespace {
 
 /// Courses of one run, unless more are asked for.
-constexpr int kCourses = 40;
+constexpr int kDefaultRunCount = 40;
 
 /// Jobs that may be given up wrongly, in a thousand: as where tasks crash their
 /// runners.
@@ -35,7 +35,7 @@
 
 Outcome PlayCourses(Restarts restarts) {
   Outcome all;
-  for (int i = 0; i < RunCountOr(kCourses); ++i) {
+  for (int i = 0; i < RunCountOr(kDefaultRunCount); ++i) {
     const int seed = FirstSeed() + i;
     Simulation course(seed, dispatch::DefaultPlanningPolicy(), restarts);
     const std::vector<std::string> wrong = course.Run();
--- a/test/room-fuzz-test.cc
+++ b/test/room-fuzz-test.cc
@@ -19,7 +19,7 @@
 namespace {
 
 /// Courses of one run, unless more are asked for.
-constexpr int kCourses = 30;
+constexpr int kDefaultRunCount = 30;
 
 /// One random course over a system.
 class RoomCourse {
@@ -144,7 +144,7 @@
 
 TEST(RoomFuzz, RoomsThatChangeAreNeverOverfilled) {
   int broken = 0;
-  for (int i = 0; i < RunCountOr(kCourses); ++i) {
+  for (int i = 0; i < RunCountOr(kDefaultRunCount); ++i) {
     const int seed = FirstSeed() + i;
     const std::vector<std::string> wrong = RoomCourse(seed).Play();
     if (wrong.empty()) continue;
