--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -403,7 +403,7 @@
   return seats;
 }
 
-bool Fleet::KnowsFreeRoom(TimePoint now) const {
+bool Fleet::KnowsFreeCapacity(TimePoint now) const {
   if (now - first_listed_at_ >= options_.first_answers) return true;
   return std::none_of(runners_.begin(), runners_.end(), [](const auto& entry) {
     const Runner& runner = *entry.second;
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -149,7 +149,7 @@
       TimePoint now, const std::set<HallId>& drained_halls = {}) const;
   /// False while a new scheduler waits for its first answers from runners: the
   /// room that it sees then is only a part of what there is.
-  bool KnowsFreeRoom(TimePoint now) const;
+  bool KnowsFreeCapacity(TimePoint now) const;
   /// True while the list was read lately enough to tell how large rooms are.
   bool KnowsRooms(TimePoint now) const {
     return now - rooms_read_at_ <= options_.longest_room_age;
--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -48,7 +48,7 @@
       advice_(advice),
       jobs_(*jobs),
       seating_(fleet->Seats(now, catalog.drained_halls)),
-      knows_free_room_(fleet->KnowsFreeRoom(now)),
+      knows_free_room_(fleet->KnowsFreeCapacity(now)),
       knows_rooms_(fleet->KnowsRooms(now)) {
   planner_.next_at_ = kNever;
 }
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -121,15 +121,15 @@
 // A new scheduler displaced runs for room that others were about to show.
 TEST(Fleet, RoomIsKnownOnceEachListedRunnerAnsweredOrMissed) {
   Runner* runner = AddRunner("i-1");
-  CHECK_FALSE(fleet.KnowsFreeRoom(now));
+  CHECK_FALSE(fleet.KnowsFreeCapacity(now));
   runner->Missed(now);
-  CHECK_TRUE(fleet.KnowsFreeRoom(now));
+  CHECK_TRUE(fleet.KnowsFreeCapacity(now));
 }
 
 TEST(Fleet, RoomCountsAsKnownWhenFirstAnswersTakeLong) {
   AddRunner("i-1");
   now = now + FleetOptions().first_answers;
-  CHECK_TRUE(fleet.KnowsFreeRoom(now));
+  CHECK_TRUE(fleet.KnowsFreeCapacity(now));
 }
 
 TEST(Fleet, LookAtAnsweringRunnerRenewsItsLease) {
