--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -29,7 +29,7 @@
   explicit CancelCourse(int seed)
       : random_(static_cast<std::uint64_t>(seed)), system_(OptionsFor(seed)) {
     only_mute_ = seed % 4 == 1;
-    TraceIfAsked(&system_);
+    TraceIfRequested(&system_);
   }
 
   /// Returns what went wrong.
--- a/test/course-settings.h
+++ b/test/course-settings.h
@@ -28,7 +28,7 @@
 }
 
 /// With LIMELEDGE_TRACE set, shows what happens in the system.
-inline void TraceIfAsked(EmulatedSystem* system) {
+inline void TraceIfRequested(EmulatedSystem* system) {
   if (std::getenv("LIMELEDGE_TRACE") == nullptr) return;
   system->SetTrace(
       [](const std::string& line) { std::printf("%s\n", line.c_str()); });
--- a/test/crash-fuzz-test.cc
+++ b/test/crash-fuzz-test.cc
@@ -66,7 +66,7 @@
       : random_(static_cast<std::uint64_t>(seed)),
         system_(OptionsFor(seed, keeps_ids)) {
     system_.SetTrace([this](const std::string& line) { NoteSettled(line); });
-    TraceIfAsked(&system_);
+    TraceIfRequested(&system_);
   }
 
   Outcome Play() {
--- a/test/dispatch-course.h
+++ b/test/dispatch-course.h
@@ -36,7 +36,7 @@
         restarts_(restarts),
         mix_(mix),
         system_(OptionsFor(seed, policy, restarts, mix)) {
-    TraceIfAsked(&system_);
+    TraceIfRequested(&system_);
   }
 
   /// Plays jobs and faults, then lets all come to rest. Returns what went
--- a/test/room-fuzz-test.cc
+++ b/test/room-fuzz-test.cc
@@ -26,7 +26,7 @@
  public:
   explicit RoomCourse(int seed)
       : random_(static_cast<std::uint64_t>(seed)), system_(OptionsFor(seed)) {
-    TraceIfAsked(&system_);
+    TraceIfRequested(&system_);
   }
 
   /// Returns what went wrong.
