--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -332,7 +332,8 @@
   // ends anew. So ends are told as known once, to a life that was heard just
   // now.
   const bool tells =
-      runner->reachable() && runner->AcknowledgedEnd() > runner->told_end &&
+      runner->reachable() &&
+      runner->AcknowledgedEnd() > runner->delivered_acknowledgement &&
       ctx.now() - runner->heard_at() <= options_.tell_ends_within;
   poll.acknowledged_end = tells ? runner->AcknowledgedEnd() : 0;
   // A look at a silent runner may arrive unheard: renewing by it would put off
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -239,7 +239,8 @@
     plan_due_ = true;
   }
   NoteHeard(ctx, runner, answer.clock_ms);
-  runner->told_end = std::max(runner->told_end, runner->look_tells);
+  runner->delivered_acknowledgement =
+      std::max(runner->delivered_acknowledgement, runner->look_tells);
   runner->next_poll_at = ctx.now();
   const bool all_taken = TakeEnds(ctx, runner, answer.ended) &&
                          answer.ended.size() < kMostListedEnds;
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -359,7 +359,7 @@
   before->Heard(now, 500000);
   AddRun(before);
   before->newest_end = 7;
-  before->told_end = 7;
+  before->delivered_acknowledgement = 7;
   before->failures_in_a_row = 2;
   before->avoid_until = now + Duration(60000);
   before->suspect_until = now + Duration(60000);
@@ -378,7 +378,7 @@
   CHECK_TRUE(next->runs().empty());
   CHECK_TRUE(next->waiting_starts.empty());
   LONGS_EQUAL(0, next->newest_end);
-  LONGS_EQUAL(0, next->told_end);
+  LONGS_EQUAL(0, next->delivered_acknowledgement);
   LONGS_EQUAL(0, next->failures_in_a_row);
   CHECK_TRUE(next->avoid_until <= now);
   CHECK_TRUE(next->suspect_until <= now);
@@ -399,7 +399,7 @@
   runner->Heard(now, 500101);
   LONGS_EQUAL(4, Poll()->acknowledged_end);
   runner->poll_in_flight = false;
-  runner->told_end = 4;
+  runner->delivered_acknowledgement = 4;
   runner->Heard(now, 500101);
   LONGS_EQUAL(0, Poll()->acknowledged_end);
 }
