--- a/test/dispatch-course.h
+++ b/test/dispatch-course.h
@@ -20,7 +20,7 @@
 namespace limeledge::emulator {
 
 /// How often runners start again in a course, and under which ids.
-enum class Restarts { kRare, kUnderNewIds, kUnderTheirIds };
+enum class RestartMode { kRare, kUnderNewIds, kUnderTheirIds };
 
 /// Which faults a course has: all, or those that can make a scheduler that
 /// lives on lose what it was told. Answers come late or never, the store
@@ -31,7 +31,8 @@
 class Simulation {
  public:
   Simulation(int seed, const dispatch::PlanningPolicy& policy,
-             Restarts restarts = Restarts::kRare, FaultMix mix = FaultMix::kAll)
+             RestartMode restarts = RestartMode::kRare,
+             FaultMix mix = FaultMix::kAll)
       : random_(static_cast<std::uint64_t>(seed)),
         restarts_(restarts),
         mix_(mix),
@@ -50,7 +51,7 @@
     Heal();
     // Tasks that crash their runners, and wait for what became of these, take
     // their time.
-    system_.Run(Duration(restarts_ == Restarts::kRare ? 60000 : 120000));
+    system_.Run(Duration(restarts_ == RestartMode::kRare ? 60000 : 120000));
     std::vector<std::string> wrong = system_.violations();
     for (const auto& [id, watch] : system_.jobs()) CheckEnd(id, watch, &wrong);
     return wrong;
@@ -69,11 +70,11 @@
 
   static SystemOptions OptionsFor(int seed,
                                   const dispatch::PlanningPolicy& policy,
-                                  Restarts restarts, FaultMix mix) {
+                                  RestartMode restarts, FaultMix mix) {
     SystemOptions options;
     options.planner.policy = &policy;
     options.seed = static_cast<std::uint64_t>(seed);
-    const bool keeps_ids = restarts == Restarts::kUnderTheirIds;
+    const bool keeps_ids = restarts == RestartMode::kUnderTheirIds;
     options.keeps_ids = keeps_ids;
     // In a third of the courses each, entries lag, or clocks jumped back.
     constexpr int kThird = 3;
@@ -94,7 +95,7 @@
     if (!OneIn(3)) Submit();
     if (OneIn(12)) CancelOne();
     if (OneIn(4)) mix_ == FaultMix::kAll ? Fault() : LoseAnswers();
-    if (restarts_ != Restarts::kRare && OneIn(4)) RestartFault();
+    if (restarts_ != RestartMode::kRare && OneIn(4)) RestartFault();
   }
 
   dispatch::StepSpec MakeStep(TaskTruth* truth) {
@@ -109,7 +110,7 @@
     if (OneIn(6)) step.max_per_runner = Pick(1, 3);
     truth->work = step.estimate * Pick(50, 200) / 100;
     truth->always_fails = OneIn(15);
-    if (restarts_ != Restarts::kRare && OneIn(40)) {
+    if (restarts_ != RestartMode::kRare && OneIn(40)) {
       // An emulated gang is done with its first member, whose runner may be
       // ahead.
       truth->work = std::max(truth->work, Duration(2000));
@@ -308,7 +309,7 @@
     if (cancelled || failed) return;
     // Where runners crash all the time, a task may seem to have had four of
     // them crash under it.
-    if (restarts_ != Restarts::kRare && state == "failed" && !poison) {
+    if (restarts_ != RestartMode::kRare && state == "failed" && !poison) {
       ++given_up_;
       if (!MayBeGivenUp(watch)) ++given_up_wrongly_;
       return;
@@ -325,7 +326,7 @@
   }
 
   std::mt19937_64 random_;
-  const Restarts restarts_;
+  const RestartMode restarts_;
   const FaultMix mix_;
   int given_up_ = 0;
   int given_up_wrongly_ = 0;
--- a/test/dispatch-fuzz-test.cc
+++ b/test/dispatch-fuzz-test.cc
@@ -20,7 +20,7 @@
 /// Plays a course; returns whether it broke a promise, which is printed.
 bool Breaks(int seed, const dispatch::PlanningPolicy& policy, FaultMix mix) {
   const std::vector<std::string> wrong =
-      Simulation(seed, policy, Restarts::kRare, mix).Run();
+      Simulation(seed, policy, RestartMode::kRare, mix).Run();
   if (wrong.empty()) return false;
   UT_PRINT(("seed " + std::to_string(seed) + ": " + wrong.front() + " (" +
             std::to_string(wrong.size()) + " in all)")
--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -33,7 +33,7 @@
   int wrongly = 0;
 };
 
-Outcome PlayCourses(Restarts restarts) {
+Outcome PlayCourses(RestartMode restarts) {
   Outcome all;
   for (int i = 0; i < RunCountOr(kDefaultRunCount); ++i) {
     const int seed = FirstSeed() + i;
@@ -69,8 +69,8 @@
 // be done are given up: the platform allows it once two runners crashed under
 // them.
 TEST(RebornFuzz, RandomCoursesBreakNoPromise) {
-  Check(PlayCourses(Restarts::kUnderTheirIds));
-  Check(PlayCourses(Restarts::kUnderNewIds));
+  Check(PlayCourses(RestartMode::kUnderTheirIds));
+  Check(PlayCourses(RestartMode::kUnderNewIds));
 }
 
 }  // namespace limeledge::emulator
