--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -352,7 +352,7 @@
   runner->poll_in_flight = true;
   runner->poll_number = poll.number;
   runner->poll_grants_lease = renew;
-  runner->look_tells = poll.acknowledged_end;
+  runner->poll_acknowledges = poll.acknowledged_end;
   runner->poll_sent_at = ctx.now();
   ctx.Emit(std::move(poll));
 }
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -292,7 +292,7 @@
   TimePoint next_poll_at;
   /// Up to which end it tells the runner that all are known, and what the
   /// runner was told so and answered.
-  std::int64_t look_tells = 0;
+  std::int64_t poll_acknowledges = 0;
   std::int64_t delivered_acknowledgement = 0;
   /// Newest end that was taken in.
   std::int64_t newest_end = 0;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -240,7 +240,7 @@
   }
   NoteHeard(ctx, runner, answer.clock_ms);
   runner->delivered_acknowledgement =
-      std::max(runner->delivered_acknowledgement, runner->look_tells);
+      std::max(runner->delivered_acknowledgement, runner->poll_acknowledges);
   runner->next_poll_at = ctx.now();
   const bool all_taken = TakeEnds(ctx, runner, answer.ended) &&
                          answer.ended.size() < kMostListedEnds;
