--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -116,7 +116,7 @@
 
   const JobSpec& spec() const { return spec_; }
   JobState state() const { return state_; }
-  bool cancel_asked() const { return cancel_asked_; }
+  bool cancel_requested() const { return cancel_asked_; }
   bool has_begun() const { return has_begun_; }
   std::vector<Occurrence>& occurrences() { return occurrences_; }
   const std::vector<Occurrence>& occurrences() const { return occurrences_; }
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -206,7 +206,7 @@
 
 void JobRegistry::StoreCancel(const JobId& id, std::vector<JobId>* changed) {
   Job* job = Find(id);
-  if (job == nullptr || job->cancel_asked()) return;
+  if (job == nullptr || job->cancel_requested()) return;
   job->RequestCancel();
   changed->push_back(id);
 }
--- a/src/dispatch/planner_steps.cc
+++ b/src/dispatch/planner_steps.cc
@@ -85,7 +85,7 @@
   entitled_ = FindEntitled();
   for (const JobId& id : jobs_.active()) {
     Job* job = jobs_.Find(id);
-    if (IsFinal(job->state()) || job->cancel_asked()) continue;
+    if (IsFinal(job->state()) || job->cancel_requested()) continue;
     for (std::size_t k = 0; k < job->occurrences().size(); ++k) {
       CollectOccurrence(job, static_cast<int>(k));
     }
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -94,7 +94,7 @@
     job = book_.Find(id);
     if (job != nullptr) InheritLosses(ctx, *job);
     job = book_.Find(id);
-    if (job != nullptr && job->cancel_asked()) Settle(ctx, job);
+    if (job != nullptr && job->cancel_requested()) Settle(ctx, job);
   }
 }
 
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -199,11 +199,11 @@
   const Row cancel = MakeRow(kJobTable, id + kCancelSuffix, "{}");
   Tell(std::get<AwaitChanges>(asked[1]), {cancel}, 30);
   Answer(asked[0], {MakeRow(kJobTable, id, EncodedJob())}, 20);
-  CHECK_FALSE(book.Find(JobId(id))->cancel_asked());
+  CHECK_FALSE(book.Find(JobId(id))->cancel_requested());
   const auto next = std::get<AwaitChanges>(Work().front());
   LONGS_EQUAL(20, next.after.value());
   Tell(next, {cancel}, 30);
-  CHECK_TRUE(book.Find(JobId(id))->cancel_asked());
+  CHECK_TRUE(book.Find(JobId(id))->cancel_requested());
 }
 
 }  // namespace limeledge::dispatch
