--- a/test/dispatch-course.h
+++ b/test/dispatch-course.h
@@ -20,7 +20,7 @@
 namespace limeledge::emulator {
 
 /// How often runners start again in a course, and under which ids.
-enum class RestartMode { kRare, kUnderNewIds, kUnderTheirIds };
+enum class RestartMode { kRare, kNewIds, kUnderTheirIds };
 
 /// Which faults a course has: all, or those that can make a scheduler that
 /// lives on lose what it was told. Answers come late or never, the store
--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -70,7 +70,7 @@
 // them.
 TEST(RebornFuzz, RandomCoursesBreakNoPromise) {
   Check(PlayCourses(RestartMode::kUnderTheirIds));
-  Check(PlayCourses(RestartMode::kUnderNewIds));
+  Check(PlayCourses(RestartMode::kNewIds));
 }
 
 }  // namespace limeledge::emulator
