--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -252,7 +252,7 @@
   if (runner.AllEndsAreAcknowledged()) return runner.next_poll_at;
   // A look that does not tell newer ends as known would be answered at once.
   return std::max(runner.next_poll_at,
-                  runner.poll_sent_at + options_.store_patience);
+                  runner.poll_sent_at + options_.unstored_end_wait);
 }
 
 void Fleet::Touch(Runner* runner) {
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -41,7 +41,7 @@
   Duration doubt_wait{100};
   /// Ends that are not stored yet are waited for this long before the lease is
   /// renewed without telling them as known.
-  Duration store_patience{700};
+  Duration unstored_end_wait{700};
   /// Ends are told as known to a life that was heard so lately: less than any
   /// runner takes to start again, and several times what a write takes.
   Duration tell_ends_within{100};
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -260,7 +260,7 @@
   for (const ReportedEnd& end : ends) {
     if (!book_.Knows(end.task.job)) {
       // An end that is not told as known would be answered at once again.
-      runner->next_poll_at = ctx.now() + options_.fleet.store_patience;
+      runner->next_poll_at = ctx.now() + options_.fleet.unstored_end_wait;
       return false;
     }
     TakeEnd(ctx, runner, end);
