--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -23,7 +23,7 @@
                      });
 }
 
-bool JobRegistry::Knows(const JobId& id) const {
+bool JobRegistry::HasReadPartitionOf(const JobId& id) const {
   return parts_read_.count(JobPartition(id.value())) != 0;
 }
 
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -58,7 +58,7 @@
   bool loaded() const { return loaded_; }
   /// False while the part that holds the job was never read: nothing can be
   /// said of it.
-  bool Knows(const JobId& id) const;
+  bool HasReadPartitionOf(const JobId& id) const;
   /// True once every part was read.
   bool HasReadAllPartitions() const {
     return parts_read_.size() == kJobPartitions;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -258,7 +258,7 @@
     runner->newest_lapse = std::max(runner->newest_lapse, end.number);
   }
   for (const ReportedEnd& end : ends) {
-    if (!book_.Knows(end.task.job)) {
+    if (!book_.HasReadPartitionOf(end.task.job)) {
       // An end that is not told as known would be answered at once again.
       runner->next_poll_at = ctx.now() + options_.fleet.unstored_end_wait;
       return false;
@@ -341,7 +341,7 @@
 void Scheduler::TakeRunning(Context& ctx, Runner* runner,
                             const ReportedRun& listed) {
   Run* run = runner->FindRun(listed.task, listed.run);
-  if (run == nullptr && !book_.Knows(listed.task.job)) return;
+  if (run == nullptr && !book_.HasReadPartitionOf(listed.task.job)) return;
   if (run == nullptr) {
     // Nobody waits for it any more. Looks may come hundreds of times a second;
     // a stop with each would hold up all other orders to this runner.
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -127,9 +127,9 @@
 }
 
 TEST(JobBook, JobsThatAreReadAreKnown) {
-  CHECK_FALSE(book.Knows(JobId(id)));
+  CHECK_FALSE(book.HasReadPartitionOf(JobId(id)));
   ReadJob(EncodeProgress(Job(*DecodeJobSpec(EncodedJob()))), EncodedJob());
-  CHECK_TRUE(book.Knows(JobId(id)));
+  CHECK_TRUE(book.HasReadPartitionOf(JobId(id)));
   CHECK_TRUE(book.HasReadAllPartitions());
   CHECK_TRUE(book.Find(JobId(id)) != nullptr);
   CHECK_TRUE(book.TakeOrphans().empty());
