--- a/test/dispatch-course.h
+++ b/test/dispatch-course.h
@@ -20,7 +20,7 @@
 namespace limeledge::emulator {
 
 /// How often runners start again in a course, and under which ids.
-enum class RestartMode { kRare, kNewIds, kUnderTheirIds };
+enum class RestartMode { kRare, kNewIds, kSameIds };
 
 /// Which faults a course has: all, or those that can make a scheduler that
 /// lives on lose what it was told. Answers come late or never, the store
@@ -74,7 +74,7 @@
     SystemOptions options;
     options.planner.policy = &policy;
     options.seed = static_cast<std::uint64_t>(seed);
-    const bool keeps_ids = restarts == RestartMode::kUnderTheirIds;
+    const bool keeps_ids = restarts == RestartMode::kSameIds;
     options.keeps_ids = keeps_ids;
     // In a third of the courses each, entries lag, or clocks jumped back.
     constexpr int kThird = 3;
--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -69,7 +69,7 @@
 // be done are given up: the platform allows it once two runners crashed under
 // them.
 TEST(RebornFuzz, RandomCoursesBreakNoPromise) {
-  Check(PlayCourses(RestartMode::kUnderTheirIds));
+  Check(PlayCourses(RestartMode::kSameIds));
   Check(PlayCourses(RestartMode::kNewIds));
 }
 
