--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -392,7 +392,7 @@
     seat.room = runner->free_capacity();
     seat.suspect = now < runner->suspect_until;
     seat.may_fail_immediately = runner->MayFailImmediately(now);
-    seat.tried = runner->IsTried();
+    seat.tried = runner->HasProbeRun();
     seat.fillers = runner->CountSharing(Sharing::kBestEffort);
     seat.serving = runner->CountSharing(Sharing::kLatencySensitive);
     for (const auto& [name, run] : runner->runs()) {
--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -196,7 +196,7 @@
   });
 }
 
-bool Runner::IsTried() const {
+bool Runner::HasProbeRun() const {
   return std::any_of(runs_.begin(), runs_.end(), [this](const auto& entry) {
     return entry.second.assigned_at > failed_at && !entry.second.stopping;
   });
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -337,7 +337,7 @@
   /// has been well for long enough to tell.
   bool MayFailImmediately(TimePoint now) const;
   /// True if a run that was assigned since tries that.
-  bool IsTried() const;
+  bool HasProbeRun() const;
   /// Runs that failed one after the other: quickly, or of different jobs.
   int failures_in_a_row = 0;
   JobId last_failed_job;
