--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -161,9 +161,9 @@
   // The job is forgotten once its final state is stored.
   writer_.Mark({kProgressTable, id.value()},
                [text = EncodeProgress(*job)] { return text; });
-  writer_.After({kProgressTable, id.value()}, [this, id](Context& later) {
-    book_.RecordFinalStored(id, later.now());
-  });
+  writer_.RunWhenStored(
+      {kProgressTable, id.value()},
+      [this, id](Context& later) { book_.RecordFinalStored(id, later.now()); });
   advice_.Forget(id);
   book_.Close(id);
 }
@@ -238,10 +238,11 @@
            {"accelerators", std::to_string(run.need.accelerators)},
            {"cpu_millis", std::to_string(run.need.cpu_millis)}});
   Mark(name.job);
-  writer_.After({kProgressTable, name.job.value()},
-                [this, name, number = run.number, incarnation](Context&) {
-                  QueueStart(name, number, incarnation);
-                });
+  writer_.RunWhenStored(
+      {kProgressTable, name.job.value()},
+      [this, name, number = run.number, incarnation](Context&) {
+        QueueStart(name, number, incarnation);
+      });
 }
 
 void Scheduler::CheckWhenDue(Context& ctx) {
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -289,8 +289,8 @@
   const RowKey key{kProgressTable, end.task.job.value()};
   if (!writer_.IsPending(key)) return;
   runner->unstored_ends.insert(end.number);
-  writer_.After(key, [this, incarnation = runner->incarnation(),
-                      number = end.number](Context&) {
+  writer_.RunWhenStored(key, [this, incarnation = runner->incarnation(),
+                              number = end.number](Context&) {
     Runner* later = fleet_.Find(incarnation);
     if (later != nullptr) later->unstored_ends.erase(number);
   });
--- a/src/dispatch/state_writer.cc
+++ b/src/dispatch/state_writer.cc
@@ -39,7 +39,7 @@
   return marked_.count(pending) != 0 || sent_.count(pending) != 0;
 }
 
-void StateWriter::After(const RowKey& key, Action action) {
+void StateWriter::RunWhenStored(const RowKey& key, Action action) {
   const PendingKey pending{key.table, key.key};
   auto found = marked_.find(pending);
   if (found == marked_.end()) found = sent_.find(pending);
--- a/src/dispatch/state_writer.h
+++ b/src/dispatch/state_writer.h
@@ -60,7 +60,7 @@
   bool IsPending(const RowKey& key) const;
   /// Runs `action` once all changes of the row up to now are stored.
   /// Precondition: `IsPending(key)`.
-  void After(const RowKey& key, Action action);
+  void RunWhenStored(const RowKey& key, Action action);
 
   /// Sends what is due, if nothing is under way.
   void Flush(Context& ctx);
--- a/test/state-writer-test.cc
+++ b/test/state-writer-test.cc
@@ -88,7 +88,7 @@
 TEST(StateWriter, ActionRunsOnlyOnceTheRowIsStored) {
   bool ran = false;
   Mark("a");
-  writer.After(key, [&ran](Context&) { ran = true; });
+  writer.RunWhenStored(key, [&ran](Context&) { ran = true; });
   const CommitRows call = *Flush();
   CHECK_FALSE(ran);
   CHECK_TRUE(writer.IsPending(key));
@@ -100,7 +100,7 @@
 TEST(StateWriter, LostWriteThatCameThroughIsKnownByItsOwnSequence) {
   bool ran = false;
   Mark("a");
-  writer.After(key, [&ran](Context&) { ran = true; });
+  writer.RunWhenStored(key, [&ran](Context&) { ran = true; });
   const CommitRows first = *Flush();
   Answer(first, StoreOutcome::kUnknown);
   now = now + StateWriterOptions().retry_pause;
@@ -154,7 +154,7 @@
 TEST(StateWriter, RefusalAfterALostAnswerSettlesNothing) {
   bool ran = false;
   Mark("a");
-  writer.After(key, [&ran](Context&) { ran = true; });
+  writer.RunWhenStored(key, [&ran](Context&) { ran = true; });
   Answer(*Flush(), StoreOutcome::kUnknown);
   now = now + StateWriterOptions().retry_pause;
   Answer(*Flush(), StoreOutcome::kNotApplied);
