--- a/test/dispatch-course.h
+++ b/test/dispatch-simulation.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_TEST_DISPATCH_COURSE_H_
-#define LIMELEDGE_TEST_DISPATCH_COURSE_H_
+#ifndef LIMELEDGE_TEST_DISPATCH_SIMULATION_H_
+#define LIMELEDGE_TEST_DISPATCH_SIMULATION_H_
 
 #include <algorithm>
 #include <random>
@@ -335,4 +335,4 @@
 
 }  // namespace limeledge::emulator
 
-#endif  // LIMELEDGE_TEST_DISPATCH_COURSE_H_
+#endif  // LIMELEDGE_TEST_DISPATCH_SIMULATION_H_
--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "CppUTest/TestHarness.h"
-#include "dispatch-course.h"
+#include "dispatch-simulation.h"
 
 namespace limeledge::emulator {
 
