--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -151,7 +151,7 @@
   /// room that it sees then is only a part of what there is.
   bool KnowsFreeCapacity(TimePoint now) const;
   /// True while the list was read lately enough to tell how large rooms are.
-  bool KnowsRooms(TimePoint now) const {
+  bool KnowsCapacities(TimePoint now) const {
     return now - rooms_read_at_ <= options_.longest_room_age;
   }
   /// The process stood still: a list that was under way tells of the time when
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -141,7 +141,7 @@
   if (!runner.reachable()) return StartObstacle::kRunnerSilent;
   if (!runner.MayBeGranted(now)) return StartObstacle::kLeaseRunsOut;
   if (!runner.HasCapacityFor(run)) return StartObstacle::kNoCapacity;
-  if (!GuardsRoom(runner) && !fleet_.KnowsRooms(now)) {
+  if (!GuardsRoom(runner) && !fleet_.KnowsCapacities(now)) {
     return StartObstacle::kRoomUnconfirmed;
   }
   const bool ticket_ran_out = PolicyOf(*job, *catalog_).needs_advice &&
