--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -50,7 +50,7 @@
       return "failed";
     case RunEnd::kStopped:
       return "stopped";
-    case RunEnd::kLapsed:
+    case RunEnd::kLeaseExpired:
       return "lapsed";
     case RunEnd::kBroken:
       return "broken";
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -44,7 +44,7 @@
   /// Stopped on request.
   kStopped,
   /// The runner's lease ran out, or the runner is gone.
-  kLapsed,
+  kLeaseExpired,
   /// Another member of the gang ended.
   kBroken,
   /// The other members did not come in time.
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -96,7 +96,7 @@
     NoteLost(ctx, *runner, name, loss);
     runner->written_off.insert({name, runner->runs().at(name).number});
     if (std::find(held.begin(), held.end(), name) != held.end()) continue;
-    EndRun(ctx, runner, name, RunEnd::kLapsed, "");
+    EndRun(ctx, runner, name, RunEnd::kLeaseExpired, "");
     StopGang(ctx, name);
   }
 }
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -164,7 +164,7 @@
   Job* job = book_.Find(name.job);
   if (job == nullptr) return;
   // A lost run is compared with those before it when it is counted.
-  if (end != RunEnd::kLapsed)
+  if (end != RunEnd::kLeaseExpired)
     job->DropOutlivedLosses(name, worked, options_.losses);
   if (!job->EndRun(name, number, end, checkpoint, MaxAttempts(*job))) return;
   Settle(ctx, job);
@@ -254,7 +254,7 @@
 bool Scheduler::TakeEnds(Context& ctx, Runner* runner,
                          const std::vector<ReportedEnd>& ends) {
   for (const ReportedEnd& end : ends) {
-    if (end.end != RunEnd::kLapsed) continue;
+    if (end.end != RunEnd::kLeaseExpired) continue;
     runner->newest_lapse = std::max(runner->newest_lapse, end.number);
   }
   for (const ReportedEnd& end : ends) {
@@ -433,7 +433,7 @@
            {"born", ToString(runner->incarnation().start_time)},
            {"newest_end", std::to_string(runner->newest_end)}});
   runner->written_off.insert({name, found->second.number});
-  EndRun(ctx, runner, name, RunEnd::kLapsed, "");
+  EndRun(ctx, runner, name, RunEnd::kLeaseExpired, "");
   StopGang(ctx, name);
 }
 
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -41,7 +41,7 @@
   runs_.clear();
   for (const auto& [name, run] : runs) {
     if (run.truth.gang_size > 0) {
-      board_->Leave(name, run.number, RunEnd::kLapsed);
+      board_->Leave(name, run.number, RunEnd::kLeaseExpired);
     }
   }
 }
@@ -68,7 +68,7 @@
     std::vector<TaskName> names;
     for (const auto& [name, run] : runs_) names.push_back(name);
     if (!names.empty() && clock_ms() >= lease_until_ms_) {
-      for (const TaskName& name : names) End(name, RunEnd::kLapsed);
+      for (const TaskName& name : names) End(name, RunEnd::kLeaseExpired);
       continue;
     }
     for (const TaskName& name : names) {
