--- a/test/dispatch-simulation.h
+++ b/test/dispatch-simulation.h
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "course-settings.h"
 #include "dispatch/planning_policy.h"
 #include "emulator/emulated_system.h"
+#include "simulation-settings.h"
 
 namespace limeledge::emulator {
 
--- a/test/room-fuzz-test.cc
+++ b/test/room-fuzz-test.cc
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "CppUTest/TestHarness.h"
-#include "course-settings.h"
 #include "emulator/emulated_system.h"
+#include "simulation-settings.h"
 
 namespace limeledge::emulator {
 
--- a/test/course-settings.h
+++ b/test/simulation-settings.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_TEST_COURSE_SETTINGS_H_
-#define LIMELEDGE_TEST_COURSE_SETTINGS_H_
+#ifndef LIMELEDGE_TEST_SIMULATION_SETTINGS_H_
+#define LIMELEDGE_TEST_SIMULATION_SETTINGS_H_
 
 #include <cstdio>
 #include <cstdlib>
@@ -36,4 +36,4 @@
 
 }  // namespace limeledge::emulator
 
-#endif  // LIMELEDGE_TEST_COURSE_SETTINGS_H_
+#endif  // LIMELEDGE_TEST_SIMULATION_SETTINGS_H_
