--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -54,7 +54,7 @@
   return !sent_at_.has_value() || now - *sent_at_ >= patience;
 }
 
-void StopRequest::Want(TimePoint now, Duration patience) {
+void StopRequest::Request(TimePoint now, Duration patience) {
   if (IsDue(now, patience)) wanted_ = true;
 }
 
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -84,7 +84,7 @@
   /// True if the stop may be sent, again after `patience` without effect.
   bool IsDue(TimePoint now, Duration patience) const;
   /// Has the stop sent when its turn comes, if it is due.
-  void Want(TimePoint now, Duration patience);
+  void Request(TimePoint now, Duration patience);
   /// The stop waits for its turn.
   bool wanted() const { return wanted_; }
   /// Notes that the stop is sent.
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -166,7 +166,7 @@
     if (next->FindRun(key.first, key.second) != nullptr) continue;
     OrphanedRun& orphans = next->AddOrphan(key, start.need);
     orphans.may_start_late = true;
-    orphans.stop.Want(ctx.now(), options_.stop_patience);
+    orphans.stop.Request(ctx.now(), options_.stop_patience);
   }
   orders_due_.insert(next->id());
 }
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -223,7 +223,7 @@
   const bool too_early =
       WasNeverSent(run.phase) || run.phase == RunPhase::kStarting;
   if (too_early || runner->info().address.empty()) return;
-  run.stop.Want(ctx.now(), options_.stop_patience);
+  run.stop.Request(ctx.now(), options_.stop_patience);
 }
 
 void Scheduler::StopAll(Context& ctx, const JobId& job) {
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -348,7 +348,7 @@
     runner
         ->AddOrphan({listed.task, listed.run},
                     NeedOfUnwanted(*runner, listed.task))
-        .stop.Want(ctx.now(), options_.stop_patience);
+        .stop.Request(ctx.now(), options_.stop_patience);
     orders_due_.insert(runner->id());
     return;
   }
