--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -52,7 +52,7 @@
       return "stopped";
     case RunEnd::kLeaseExpired:
       return "lapsed";
-    case RunEnd::kBroken:
+    case RunEnd::kGangBroken:
       return "broken";
     case RunEnd::kAlone:
       return "alone";
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -46,7 +46,7 @@
   /// The runner's lease ran out, or the runner is gone.
   kLeaseExpired,
   /// Another member of the gang ended.
-  kBroken,
+  kGangBroken,
   /// The other members did not come in time.
   kAlone,
   /// The runner did not begin the run.
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -363,7 +363,8 @@
   if (found == gangs_.end()) return;
   std::vector<Member> others = std::move(found->second);
   gangs_.erase(found);
-  const RunEnd theirs = end == RunEnd::kDone ? RunEnd::kDone : RunEnd::kBroken;
+  const RunEnd theirs =
+      end == RunEnd::kDone ? RunEnd::kDone : RunEnd::kGangBroken;
   for (const Member& other : others) {
     if (!(other.name == name)) other.runner->EndMember(other.name, run, theirs);
   }
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -119,7 +119,7 @@
   LONGS_EQUAL(17, polled.running[0].task.index);
   LONGS_EQUAL(41, polled.running[0].percent);
   LONGS_EQUAL(58, polled.ended[0].number);
-  CHECK_TRUE(polled.ended[0].end == dispatch::RunEnd::kBroken);
+  CHECK_TRUE(polled.ended[0].end == dispatch::RunEnd::kGangBroken);
 }
 
 TEST(Wire, LookTellsTheLifeThatAnswers) {
