--- a/src/dispatch/leadership.h
+++ b/src/dispatch/leadership.h
@@ -74,7 +74,9 @@
   void Retire() { retired_ = true; }
 
   /// False if the store refused the newest call, or left several unanswered.
-  bool store_answers() const { return !refused_ && misses_ < kMissesUntilAway; }
+  bool store_answers() const {
+    return !refused_ && misses_ < kAttemptsUntilStoreUnavailable;
+  }
 
  private:
   void Observe(Context& ctx, const Row& row);
