--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -54,7 +54,7 @@
       return "lapsed";
     case RunEnd::kGangBroken:
       return "broken";
-    case RunEnd::kAlone:
+    case RunEnd::kGangIncomplete:
       return "alone";
     case RunEnd::kRejected:
       return "rejected";
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -48,7 +48,7 @@
   /// Another member of the gang ended.
   kGangBroken,
   /// The other members did not come in time.
-  kAlone,
+  kGangIncomplete,
   /// The runner did not begin the run.
   kRejected,
 };
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -99,7 +99,8 @@
   const TaskTruth& truth = run->truth;
   if (truth.gang_size > 0 &&
       board_->Present(name, run->number) < truth.gang_size) {
-    if (now_ - run->started_at >= bounds_.gang_wait) End(name, RunEnd::kAlone);
+    if (now_ - run->started_at >= bounds_.gang_wait)
+      End(name, RunEnd::kGangIncomplete);
     return;
   }
   if (run->broken) {
