--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -18,7 +18,7 @@
 #include "dispatch/placement.h"
 #include "dispatch/run_loss.h"
 #include "dispatch/runner.h"
-#include "dispatch/store_patience.h"
+#include "dispatch/store_timeout.h"
 
 namespace limeledge::dispatch {
 
--- a/src/dispatch/front_end.h
+++ b/src/dispatch/front_end.h
@@ -13,7 +13,7 @@
 #include "dispatch/catalog.h"
 #include "dispatch/context.h"
 #include "dispatch/peer_check.h"
-#include "dispatch/store_patience.h"
+#include "dispatch/store_timeout.h"
 
 namespace limeledge::dispatch {
 
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -18,7 +18,7 @@
 #include "dispatch/context.h"
 #include "dispatch/job.h"
 #include "dispatch/row_codec.h"
-#include "dispatch/store_patience.h"
+#include "dispatch/store_timeout.h"
 
 namespace limeledge::dispatch {
 
--- a/src/dispatch/leadership.h
+++ b/src/dispatch/leadership.h
@@ -13,7 +13,7 @@
 
 #include "dispatch/context.h"
 #include "dispatch/row_codec.h"
-#include "dispatch/store_patience.h"
+#include "dispatch/store_timeout.h"
 #include "limeledge/lease.h"
 
 namespace limeledge::dispatch {
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -20,7 +20,7 @@
 #include "dispatch/leadership.h"
 #include "dispatch/peer_check.h"
 #include "dispatch/scheduler.h"
-#include "dispatch/store_patience.h"
+#include "dispatch/store_timeout.h"
 
 namespace limeledge::dispatch {
 
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "dispatch/context.h"
-#include "dispatch/store_patience.h"
+#include "dispatch/store_timeout.h"
 
 namespace limeledge::dispatch {
 
--- a/src/dispatch/store_patience.cc
+++ b/src/dispatch/store_patience.cc
@@ -4,10 +4,10 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#include "dispatch/store_patience.h"
-
 #include <algorithm>
 
+#include "dispatch/store_timeout.h"
+
 namespace limeledge::dispatch {
 
 namespace {
--- a/src/dispatch/store_patience.h
+++ b/src/dispatch/store_timeout.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_DISPATCH_STORE_PATIENCE_H_
-#define LIMELEDGE_SRC_DISPATCH_STORE_PATIENCE_H_
+#ifndef LIMELEDGE_SRC_DISPATCH_STORE_TIMEOUT_H_
+#define LIMELEDGE_SRC_DISPATCH_STORE_TIMEOUT_H_
 
 #include <map>
 #include <optional>
@@ -67,4 +67,4 @@
 
 }  // namespace limeledge::dispatch
 
-#endif  // LIMELEDGE_SRC_DISPATCH_STORE_PATIENCE_H_
+#endif  // LIMELEDGE_SRC_DISPATCH_STORE_TIMEOUT_H_
--- a/test/store-patience-test.cc
+++ b/test/store-patience-test.cc
@@ -5,7 +5,7 @@
 // SPDX-License-Identifier: MIT
 
 #include "CppUTest/TestHarness.h"
-#include "dispatch/store_patience.h"
+#include "dispatch/store_timeout.h"
 
 namespace limeledge::dispatch {
 
