--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -86,7 +86,7 @@
   TimePoint ready_since;
   bool ready = false;
   /// The length of one of its runs was learnt; the others are much alike.
-  bool learnt = false;
+  bool duration_known = false;
   /// Runners on which a run of one of its tasks failed; others are tried first.
   std::set<IncarnationId> failed_on;
   /// The shortest length that runs on each runner were seen to have: what is
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -70,8 +70,8 @@
   if (!run->learns || run->percent < options_.min_learn_percent) return;
   run->learns = false;
   Step& step = job->occurrences()[name.occurrence].steps[name.step];
-  if (step.learnt) return;
-  step.learnt = true;
+  if (step.duration_known) return;
+  step.duration_known = true;
   const Duration whole =
       (ctx.now() - run->started_at) * kAllDone / run->percent;
   times_.AddSample(job->spec().queue, job->step_spec(name.step).estimate,
