--- a/src/dispatch/store_patience.cc
+++ b/src/dispatch/store_timeout.cc
@@ -4,10 +4,10 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#include <algorithm>
-
 #include "dispatch/store_timeout.h"
 
+#include <algorithm>
+
 namespace limeledge::dispatch {
 
 namespace {
