--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -44,7 +44,7 @@
   it->second.tasks.insert(task);
 }
 
-std::vector<TaskName> LossTracker::Close(const IncarnationId& incarnation) {
+std::vector<TaskName> LossTracker::Resolve(const IncarnationId& incarnation) {
   const auto found = open_.find(incarnation);
   if (found == open_.end()) return {};
   const std::set<TaskName> tasks = std::move(found->second.tasks);
--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -49,7 +49,7 @@
                      StartTime listed, TimePoint now);
   /// Tasks that lost a run with the life, now that its fate is known; they are
   /// forgotten here.
-  std::vector<TaskName> Close(const IncarnationId& incarnation);
+  std::vector<TaskName> Resolve(const IncarnationId& incarnation);
   /// Lives with open losses at the address which are over, now that the list
   /// tells of `living` there.
   std::vector<IncarnationId> ReplacedAt(const std::string& address,
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -165,7 +165,7 @@
 
 void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& incarnation,
                               IncarnationFate fate) {
-  for (const TaskName& name : losses_.Close(incarnation)) {
+  for (const TaskName& name : losses_.Resolve(incarnation)) {
     Job* job = book_.Find(name.job);
     if (job == nullptr || !job->ResolveLosses(name, incarnation, fate))
       continue;
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -106,7 +106,7 @@
   LONGS_EQUAL(0, book.ReplacedAt("", Life("i-9")).size());
   LONGS_EQUAL(0, book.Overdue(TimePoint(20999)).size());
   LONGS_EQUAL(1, book.Overdue(TimePoint(21000)).size());
-  LONGS_EQUAL(1, book.Close(loss.incarnation).size());
+  LONGS_EQUAL(1, book.Resolve(loss.incarnation).size());
   CHECK_FALSE(book.HasUnresolved());
 }
 
