--- a/src/dispatch/life.h
+++ b/src/dispatch/incarnation.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_DISPATCH_LIFE_H_
-#define LIMELEDGE_SRC_DISPATCH_LIFE_H_
+#ifndef LIMELEDGE_SRC_DISPATCH_INCARNATION_H_
+#define LIMELEDGE_SRC_DISPATCH_INCARNATION_H_
 
 #include <string>
 #include <tuple>
@@ -54,4 +54,4 @@
 
 }  // namespace limeledge::dispatch
 
-#endif  // LIMELEDGE_SRC_DISPATCH_LIFE_H_
+#endif  // LIMELEDGE_SRC_DISPATCH_INCARNATION_H_
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -14,8 +14,8 @@
 #include <string>
 #include <vector>
 
+#include "dispatch/incarnation.h"
 #include "dispatch/job_spec.h"
-#include "dispatch/life.h"
 #include "dispatch/run_loss.h"
 #include "limeledge/base.h"
 #include "limeledge/clock.h"
--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "dispatch/life.h"
+#include "dispatch/incarnation.h"
 #include "limeledge/base.h"
 #include "limeledge/clock.h"
 
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -19,9 +19,9 @@
 #include <utility>
 #include <vector>
 
+#include "dispatch/incarnation.h"
 #include "dispatch/job_spec.h"
 #include "dispatch/late_orders.h"
-#include "dispatch/life.h"
 #include "limeledge/base.h"
 #include "limeledge/clock.h"
 
--- a/src/emulator/emulated_catalog.h
+++ b/src/emulator/emulated_catalog.h
@@ -10,8 +10,8 @@
 #include <string>
 
 #include "dispatch/catalog.h"
+#include "dispatch/incarnation.h"
 #include "dispatch/job_spec.h"
-#include "dispatch/life.h"
 
 namespace limeledge::emulator {
 
