--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -216,7 +216,7 @@
   return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-void JobRegistry::Close(const JobId& id) {
+void JobRegistry::MarkFinal(const JobId& id) {
   active_.erase(id);
   jobs_.erase(id);
   closed_[id] = std::nullopt;
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -75,7 +75,7 @@
   /// Jobs that are not final.
   const std::set<JobId>& active() const { return active_; }
   /// Notes that the job is final; its tasks are forgotten.
-  void Close(const JobId& id);
+  void MarkFinal(const JobId& id);
   /// Notes that the closed job's final state is in the store.
   void RecordFinalStored(const JobId& id, TimePoint now);
   /// Closed jobs whose final state is in the store since before `moment`.
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -165,7 +165,7 @@
       {kProgressTable, id.value()},
       [this, id](Context& later) { book_.RecordFinalStored(id, later.now()); });
   advice_.Forget(id);
-  book_.Close(id);
+  book_.MarkFinal(id);
 }
 
 void Scheduler::WriteWaiting(Context& ctx) {
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -171,7 +171,7 @@
 
 TEST(JobBook, FinalJobIsClearedOnlyOnceItsStateIsStored) {
   ReadJob(EncodeProgress(Job(*DecodeJobSpec(EncodedJob()))), EncodedJob());
-  book.Close(JobId(id));
+  book.MarkFinal(JobId(id));
   CHECK_TRUE(book.FinalizedBefore(now + Duration(1000000)).empty());
   book.RecordFinalStored(JobId(id), now);
   CHECK_TRUE(book.FinalizedBefore(now).empty());
