--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -42,7 +42,7 @@
   Ticket ticket;
   StoreLane lane = StoreLane::kCallers;
   std::string table;
-  std::string part;
+  std::string partition;
   std::string from;
   std::string to;
   int limit = 500;
--- a/src/dispatch/front_end.cc
+++ b/src/dispatch/front_end.cc
@@ -183,7 +183,7 @@
   pending.stage = Stage::kSubmit;
   pending.stored_spec = EncodeJobSpec(spec);
   const RowKey key{kJobTable, id.value()};
-  pending.transaction.part = JobPartition(id.value());
+  pending.transaction.partition = JobPartition(id.value());
   pending.transaction.conditions.push_back({key, Revision()});
   pending.transaction.puts.push_back({key, pending.stored_spec});
   Send(ctx, std::move(pending));
@@ -217,7 +217,7 @@
   } else {
     const bool job = stage == Stage::kReadJob;
     read.table = job ? kJobTable : kProgressTable;
-    if (job) read.part = JobPartition(pending.job.value());
+    if (job) read.partition = JobPartition(pending.job.value());
     read.from = pending.job.value();
   }
   // The job and its cancelling: keys go on with a sign below '/'.
@@ -358,7 +358,7 @@
   pending.stage = Stage::kCancel;
   pending.misses = 0;
   const Row& job = answer.rows.front();
-  pending.transaction.part = JobPartition(pending.job.value());
+  pending.transaction.partition = JobPartition(pending.job.value());
   pending.transaction.conditions.push_back({job.key, job.revision});
   pending.transaction.puts.push_back(
       {{kJobTable, absl::StrCat(pending.job.value(), kCancelSuffix)}, "{}"});
--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -15,10 +15,10 @@
 
 std::vector<JobId> JobCleaner::ChooseJobs(const std::vector<JobId>& old) const {
   std::vector<JobId> chosen;
-  const std::string part = JobPartition(old.front().value());
+  const std::string partition = JobPartition(old.front().value());
   for (const JobId& id : old) {
     if (chosen.size() == options_.max_jobs) break;
-    if (JobPartition(id.value()) == part) chosen.push_back(id);
+    if (JobPartition(id.value()) == partition) chosen.push_back(id);
   }
   return chosen;
 }
@@ -37,7 +37,7 @@
   CommitRows commit;
   commit.ticket = call_;
   commit.lane = StoreLane::kParts;
-  commit.transaction.part = JobPartition(jobs_.front().value());
+  commit.transaction.partition = JobPartition(jobs_.front().value());
   for (const JobId& id : jobs_) {
     commit.transaction.removes.push_back({kJobTable, id.value()});
     commit.transaction.removes.push_back(
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -42,9 +42,9 @@
   jobs_asked_at_ = now;
   seen_ = Revision();
   readings_.clear();
-  for (const std::string& part : AllJobPartitions()) {
+  for (const std::string& partition : AllJobPartitions()) {
     Reading reading;
-    reading.part = part;
+    reading.partition = partition;
     readings_.push_back(std::move(reading));
   }
 }
@@ -54,7 +54,7 @@
   reading->call = ctx.NewTicket();
   const char* table =
       stage_ == Stage::kReadProgress ? kProgressTable : kJobTable;
-  ctx.Emit(ReadRows{reading->call, StoreLane::kParts, table, reading->part,
+  ctx.Emit(ReadRows{reading->call, StoreLane::kParts, table, reading->partition,
                     reading->next_key, "", options_.page_rows,
                     patience_->For(reading->misses)});
 }
@@ -115,7 +115,7 @@
     reading->next_key = absl::StrCat(answer.rows.back().key.key, " ");
     return changed;
   }
-  if (jobs) parts_read_.insert(reading->part);
+  if (jobs) parts_read_.insert(reading->partition);
   readings_.erase(reading);
   if (readings_.empty()) FinishReading(ctx.now());
   return changed;
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -93,7 +93,7 @@
   enum class Stage { kReadProgress, kReadJobs };
   /// The reading of one part of a table, page by page.
   struct Reading {
-    std::string part;
+    std::string partition;
     std::string next_key;
     bool under_way = false;
     /// Calls for the present page that were not answered.
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -74,7 +74,7 @@
   call_under_way_ = true;
   call_ = ctx.NewTicket();
   RowTransaction renewal;
-  renewal.part = kPeerPartition;
+  renewal.partition = kPeerPartition;
   renewal.puts.push_back(
       {{kPeerTable, instance_}, EncodePeer({address_, ctx.wall_ms()})});
   for (const std::string& key : stale_) {
@@ -92,7 +92,7 @@
   read.ticket = call_;
   read.lane = StoreLane::kPeers;
   read.table = kPeerTable;
-  read.part = kPeerPartition;
+  read.partition = kPeerPartition;
   read.limit = kMostPeers;
   read.timeout = patience_->For();
   ctx.Emit(std::move(read));
--- a/src/dispatch/rows.h
+++ b/src/dispatch/rows.h
@@ -49,7 +49,7 @@
 /// store carries out the transactions of a part one after the other.
 struct RowTransaction {
   /// Empty for the part that holds the scheduler's rows.
-  std::string part;
+  std::string partition;
   std::vector<RowCondition> conditions;
   std::vector<RowWrite> puts;
   std::vector<RowKey> removes;
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -115,10 +115,10 @@
     processes_[node].own_writes[commit.ticket] = now_;
   }
   // A part carries its transactions out one after the other.
-  TimePoint& free_at = part_free_at_[commit.transaction.part];
+  TimePoint& free_at = part_free_at_[commit.transaction.partition];
   free_at = std::max(free_at, now_);
   const bool refused =
-      IsAway(commit.transaction.part) || free_at - now_ > kLongestQueue;
+      IsAway(commit.transaction.partition) || free_at - now_ > kLongestQueue;
   if (refused) {
     lost.outcome = StoreOutcome::kNotApplied;
     At(now_ + options_.network * 2,
@@ -148,8 +148,8 @@
       [this, read] {
         dispatch::ReadCompleted answer;
         answer.outcome = StoreOutcome::kNotApplied;
-        if (!IsAway(read.part)) {
-          answer = store_.Read(read.table, read.part, read.from, read.to,
+        if (!IsAway(read.partition)) {
+          answer = store_.Read(read.table, read.partition, read.from, read.to,
                                read.limit);
         }
         answer.ticket = read.ticket;
--- a/src/emulator/emulated_store.cc
+++ b/src/emulator/emulated_store.cc
@@ -26,7 +26,8 @@
   dispatch::CommitCompleted answer;
   answer.outcome = StoreOutcome::kDone;
   for (const dispatch::RowCondition& condition : transaction.conditions) {
-    const Key key{condition.key.table, transaction.part, condition.key.key};
+    const Key key{condition.key.table, transaction.partition,
+                  condition.key.key};
     const auto found = cells_.find(key);
     const Cell cell =
         found == cells_.end() ? Cell{"", Revision(), true} : found->second;
@@ -41,26 +42,26 @@
   revision_ = revision_.Next();
   answer.revision = revision_;
   for (const dispatch::RowWrite& put : transaction.puts) {
-    cells_[{put.key.table, transaction.part, put.key.key}] = {put.value,
-                                                              revision_, false};
+    cells_[{put.key.table, transaction.partition, put.key.key}] = {
+        put.value, revision_, false};
   }
   for (const dispatch::RowKey& key : transaction.removes) {
-    cells_[{key.table, transaction.part, key.key}] = {"", revision_, true};
+    cells_[{key.table, transaction.partition, key.key}] = {"", revision_, true};
   }
   return answer;
 }
 
 dispatch::ReadCompleted EmulatedStore::Read(const std::string& table,
-                                            const std::string& part,
+                                            const std::string& partition,
                                             const std::string& from,
                                             const std::string& to,
                                             int limit) const {
   dispatch::ReadCompleted answer;
   answer.outcome = StoreOutcome::kDone;
   answer.newest = revision_;
-  for (auto it = cells_.lower_bound({table, part, from});
+  for (auto it = cells_.lower_bound({table, partition, from});
        it != cells_.end() && std::get<0>(it->first) == table &&
-       std::get<1>(it->first) == part;
+       std::get<1>(it->first) == partition;
        ++it) {
     if (!to.empty() && std::get<2>(it->first) >= to) break;
     if (it->second.removed) continue;
--- a/src/emulator/emulated_store.h
+++ b/src/emulator/emulated_store.h
@@ -27,8 +27,9 @@
   /// Rows of a part of a table with keys from `from` to before `to` (empty: the
   /// last).
   dispatch::ReadCompleted Read(const std::string& table,
-                               const std::string& part, const std::string& from,
-                               const std::string& to, int limit) const;
+                               const std::string& partition,
+                               const std::string& from, const std::string& to,
+                               int limit) const;
   /// Changes of all parts of a table after a revision, each row once, in order.
   dispatch::ChangesReceived Changes(const std::string& table,
                                     Revision after) const;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -263,8 +263,8 @@
   void CheckMayAct(int node, const char* what);
   /// True while the node's calls don't reach the store.
   bool IsCutOffFromStore(int node) const;
-  bool IsAway(const std::string& part) const {
-    return faults_.parts_down.count(part) != 0;
+  bool IsAway(const std::string& partition) const {
+    return faults_.parts_down.count(partition) != 0;
   }
   /// Carries a call to the store out; the answer comes later or never.
   template <typename Answer>
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -86,7 +86,7 @@
   void ReadJob(const std::string& progress, const std::string& job) {
     Answer(Work().front(), {MakeRow(kProgressTable, id, progress)});
     for (const Effect& read : Work()) {
-      const bool own = std::get<ReadRows>(read).part == JobPartition(id);
+      const bool own = std::get<ReadRows>(read).partition == JobPartition(id);
       Answer(read, own ? std::vector<Row>{MakeRow(kJobTable, id, job)}
                        : std::vector<Row>{});
     }
@@ -185,7 +185,7 @@
 TEST(JobBook, CancellingThatIsFollowedBeforeItsJobIsReadIsNotLost) {
   Answer(Work().front());
   for (const Effect& read : Work()) {
-    const bool own = std::get<ReadRows>(read).part == JobPartition(id);
+    const bool own = std::get<ReadRows>(read).partition == JobPartition(id);
     if (own) {
       const Row before = MakeRow(kJobTable, "00000000000000a0", EncodedJob());
       Answer(read, {before}, 10, true);
