--- a/src/dispatch/front_end.h
+++ b/src/dispatch/front_end.h
@@ -55,7 +55,7 @@
   void Handle(Context& ctx, const ReadCompleted& answer, bool store_answers);
 
   /// Takes in why the store does not answer, as far as that is known.
-  void NoteStoreLoss(StoreLoss loss) { loss_ = loss; }
+  void NoteStoreLoss(StoreOutage loss) { loss_ = loss; }
 
   bool idle() const { return calls_.empty(); }
 
@@ -119,7 +119,7 @@
 
   FrontEndOptions options_;
   const StoreTimeout* patience_;
-  StoreLoss loss_ = StoreLoss::kUnknown;
+  StoreOutage loss_ = StoreOutage::kUnknown;
   std::map<Ticket, Pending> calls_;
 };
 
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -24,13 +24,13 @@
 
 }  // namespace
 
-const char* ToString(StoreLoss loss) {
+const char* ToString(StoreOutage loss) {
   switch (loss) {
-    case StoreLoss::kUnknown:
+    case StoreOutage::kUnknown:
       return "unknown";
-    case StoreLoss::kHereOnly:
+    case StoreOutage::kHereOnly:
       return "here only";
-    case StoreLoss::kEverywhere:
+    case StoreOutage::kEverywhere:
       return "everywhere";
   }
   return "";
@@ -54,7 +54,7 @@
   if (lost_) {
     lost_ = false;
     asked_.clear();
-    SetLoss(ctx, StoreLoss::kUnknown);
+    SetLoss(ctx, StoreOutage::kUnknown);
   }
   if (call_under_way_) return;
   if (ctx.now() >= renew_at_) {
@@ -155,28 +155,28 @@
     const std::optional<TimePoint> failing = patience_->failing_since();
     const bool since =
         failing.has_value() && heard_at > *failing + options_.margin;
-    if (since) SetLoss(ctx, StoreLoss::kHereOnly);
+    if (since) SetLoss(ctx, StoreOutage::kHereOnly);
     // It may not have noticed yet; the next round tells.
     return;
   }
-  const StoreLoss loss = Judge();
-  if (loss != StoreLoss::kUnknown) SetLoss(ctx, loss);
+  const StoreOutage loss = Judge();
+  if (loss != StoreOutage::kUnknown) SetLoss(ctx, loss);
 }
 
-StoreLoss PeerCheck::Judge() const {
-  if (!asked_.empty()) return StoreLoss::kUnknown;
+StoreOutage PeerCheck::Judge() const {
+  if (!asked_.empty()) return StoreOutage::kUnknown;
   if (round_.silent == round_.asked) {
-    return round_.silent >= kSilentForCut ? StoreLoss::kHereOnly
-                                          : StoreLoss::kUnknown;
+    return round_.silent >= kSilentForCut ? StoreOutage::kHereOnly
+                                          : StoreOutage::kUnknown;
   }
   const bool none_served = round_.silent + round_.lost == round_.asked;
-  return none_served ? StoreLoss::kEverywhere : StoreLoss::kUnknown;
+  return none_served ? StoreOutage::kEverywhere : StoreOutage::kUnknown;
 }
 
-void PeerCheck::SetLoss(Context& ctx, StoreLoss loss) {
+void PeerCheck::SetLoss(Context& ctx, StoreOutage loss) {
   if (loss == loss_) return;
   loss_ = loss;
-  if (loss == StoreLoss::kUnknown) return;
+  if (loss == StoreOutage::kUnknown) return;
   ctx.Log(LogId::kStoreLossJudged, {{"store_lost", ToString(loss)},
                                     {"peers", std::to_string(peers_.size())},
                                     {"silent", std::to_string(round_.silent)},
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -40,7 +40,7 @@
 };
 
 /// Why the store does not answer this node.
-enum class StoreLoss {
+enum class StoreOutage {
   /// It does, or nobody knows yet.
   kUnknown,
   /// It serves others: callers do well to come back to another node at once.
@@ -49,7 +49,7 @@
   kEverywhere,
 };
 
-const char* ToString(StoreLoss loss);
+const char* ToString(StoreOutage loss);
 
 /// Keeps a row with this node's address in the store, and asks the others while
 /// the store is lost. Peers that hear nothing of each other nor of the store
@@ -75,7 +75,7 @@
   /// Takes in what a peer tells of the store.
   void Handle(Context& ctx, const PeerReplied& answer);
 
-  StoreLoss loss() const { return loss_; }
+  StoreOutage loss() const { return loss_; }
 
  private:
   struct Round {
@@ -89,8 +89,8 @@
   void ReadPeers(Context& ctx);
   void Ask(Context& ctx);
   /// Judges by the answers of the round so far.
-  StoreLoss Judge() const;
-  void SetLoss(Context& ctx, StoreLoss loss);
+  StoreOutage Judge() const;
+  void SetLoss(Context& ctx, StoreOutage loss);
 
   PeerCheckOptions options_;
   std::string instance_;
@@ -110,7 +110,7 @@
   /// Those of the present round that have not answered.
   std::set<std::string> asked_;
   Round round_;
-  StoreLoss loss_ = StoreLoss::kUnknown;
+  StoreOutage loss_ = StoreOutage::kUnknown;
 };
 
 }  // namespace limeledge::dispatch
--- a/test/coming-back-test.cc
+++ b/test/coming-back-test.cc
@@ -17,10 +17,10 @@
   const int lost = (system.leader() + 1) % 3;
   system.faults().nodes_without_store = {lost};
   system.Run(Duration(2500));
-  CHECK_TRUE(system.LossAt(lost) == dispatch::StoreLoss::kHereOnly);
+  CHECK_TRUE(system.LossAt(lost) == dispatch::StoreOutage::kHereOnly);
   system.faults().nodes_without_store.clear();
   system.Run(Duration(1500));
-  CHECK_TRUE(system.LossAt(lost) == dispatch::StoreLoss::kUnknown);
+  CHECK_TRUE(system.LossAt(lost) == dispatch::StoreOutage::kUnknown);
 }
 
 // Callers that came back at once would have used up their tries long before a
@@ -30,11 +30,11 @@
   for (int i = 0; i < 40; ++i) {
     system.Run(Duration(100));
     for (int node = 0; node < 3; ++node) {
-      CHECK_TRUE(system.LossAt(node) != dispatch::StoreLoss::kHereOnly);
+      CHECK_TRUE(system.LossAt(node) != dispatch::StoreOutage::kHereOnly);
     }
   }
   for (int node = 0; node < 3; ++node) {
-    CHECK_TRUE(system.LossAt(node) == dispatch::StoreLoss::kEverywhere);
+    CHECK_TRUE(system.LossAt(node) == dispatch::StoreOutage::kEverywhere);
   }
 }
 
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -92,11 +92,11 @@
 }
 
 TEST(FrontEnd, CallerThatAnotherNodeWouldServeIsToldToComeBackAtOnce) {
-  front_end.NoteStoreLoss(StoreLoss::kHereOnly);
+  front_end.NoteStoreLoss(StoreOutage::kHereOnly);
   Begin(CallKind::kSubmit, false);
   CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
   LONGS_EQUAL(0, Newest<RespondToCall>()->retry_after.value().ms());
-  front_end.NoteStoreLoss(StoreLoss::kEverywhere);
+  front_end.NoteStoreLoss(StoreOutage::kEverywhere);
   Begin(CallKind::kSubmit, false);
   LONGS_EQUAL(FrontEndOptions().retry_after.ms(),
               Newest<RespondToCall>()->retry_after.value().ms());
