--- a/src/dispatch/front_end.cc
+++ b/src/dispatch/front_end.cc
@@ -96,7 +96,7 @@
 Duration FrontEnd::TimeToComeBack() const {
   // Their next try reaches another node, and urgent work has a second or so to
   // lose. A store that serves nobody would see them use up their tries.
-  const bool others_serve = loss_ == StoreOutage::kHereOnly;
+  const bool others_serve = loss_ == StoreOutage::kLocal;
   return others_serve ? Duration(0) : options_.retry_after;
 }
 
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -28,7 +28,7 @@
   switch (loss) {
     case StoreOutage::kUnknown:
       return "unknown";
-    case StoreOutage::kHereOnly:
+    case StoreOutage::kLocal:
       return "here only";
     case StoreOutage::kEverywhere:
       return "everywhere";
@@ -155,7 +155,7 @@
     const std::optional<TimePoint> failing = patience_->failing_since();
     const bool since =
         failing.has_value() && heard_at > *failing + options_.margin;
-    if (since) SetLoss(ctx, StoreOutage::kHereOnly);
+    if (since) SetLoss(ctx, StoreOutage::kLocal);
     // It may not have noticed yet; the next round tells.
     return;
   }
@@ -166,7 +166,7 @@
 StoreOutage PeerCheck::Judge() const {
   if (!asked_.empty()) return StoreOutage::kUnknown;
   if (round_.silent == round_.asked) {
-    return round_.silent >= kSilentForCut ? StoreOutage::kHereOnly
+    return round_.silent >= kSilentForCut ? StoreOutage::kLocal
                                           : StoreOutage::kUnknown;
   }
   const bool none_served = round_.silent + round_.lost == round_.asked;
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -44,7 +44,7 @@
   /// It does, or nobody knows yet.
   kUnknown,
   /// It serves others: callers do well to come back to another node at once.
-  kHereOnly,
+  kLocal,
   /// It serves none of those that were asked.
   kEverywhere,
 };
--- a/test/coming-back-test.cc
+++ b/test/coming-back-test.cc
@@ -17,7 +17,7 @@
   const int lost = (system.leader() + 1) % 3;
   system.faults().nodes_without_store = {lost};
   system.Run(Duration(2500));
-  CHECK_TRUE(system.LossAt(lost) == dispatch::StoreOutage::kHereOnly);
+  CHECK_TRUE(system.LossAt(lost) == dispatch::StoreOutage::kLocal);
   system.faults().nodes_without_store.clear();
   system.Run(Duration(1500));
   CHECK_TRUE(system.LossAt(lost) == dispatch::StoreOutage::kUnknown);
@@ -30,7 +30,7 @@
   for (int i = 0; i < 40; ++i) {
     system.Run(Duration(100));
     for (int node = 0; node < 3; ++node) {
-      CHECK_TRUE(system.LossAt(node) != dispatch::StoreOutage::kHereOnly);
+      CHECK_TRUE(system.LossAt(node) != dispatch::StoreOutage::kLocal);
     }
   }
   for (int node = 0; node < 3; ++node) {
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -92,7 +92,7 @@
 }
 
 TEST(FrontEnd, CallerThatAnotherNodeWouldServeIsToldToComeBackAtOnce) {
-  front_end.NoteStoreLoss(StoreOutage::kHereOnly);
+  front_end.NoteStoreLoss(StoreOutage::kLocal);
   Begin(CallKind::kSubmit, false);
   CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
   LONGS_EQUAL(0, Newest<RespondToCall>()->retry_after.value().ms());
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -107,7 +107,7 @@
 
 TEST(PeerCheck, PeerThatTheStoreAnsweredSinceTellsOfALossHereOnly) {
   Round(Word(true, Duration(100)));
-  CHECK_TRUE(check.loss() == StoreOutage::kHereOnly);
+  CHECK_TRUE(check.loss() == StoreOutage::kLocal);
 }
 
 // Peers notice an outage some tenths of a second one after the other.
@@ -125,7 +125,7 @@
 
 TEST(PeerCheck, SilentPeersTellOfANodeThatIsCutOff) {
   Round(PeerReplied());
-  CHECK_TRUE(check.loss() == StoreOutage::kHereOnly);
+  CHECK_TRUE(check.loss() == StoreOutage::kLocal);
 }
 
 TEST(PeerCheck, OneSilentPeerAloneTellsNothing) {
