--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -30,7 +30,7 @@
       return "unknown";
     case StoreOutage::kLocal:
       return "here only";
-    case StoreOutage::kEverywhere:
+    case StoreOutage::kGlobal:
       return "everywhere";
   }
   return "";
@@ -170,7 +170,7 @@
                                           : StoreOutage::kUnknown;
   }
   const bool none_served = round_.silent + round_.lost == round_.asked;
-  return none_served ? StoreOutage::kEverywhere : StoreOutage::kUnknown;
+  return none_served ? StoreOutage::kGlobal : StoreOutage::kUnknown;
 }
 
 void PeerCheck::SetLoss(Context& ctx, StoreOutage loss) {
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -46,7 +46,7 @@
   /// It serves others: callers do well to come back to another node at once.
   kLocal,
   /// It serves none of those that were asked.
-  kEverywhere,
+  kGlobal,
 };
 
 const char* ToString(StoreOutage loss);
--- a/test/coming-back-test.cc
+++ b/test/coming-back-test.cc
@@ -34,7 +34,7 @@
     }
   }
   for (int node = 0; node < 3; ++node) {
-    CHECK_TRUE(system.LossAt(node) == dispatch::StoreOutage::kEverywhere);
+    CHECK_TRUE(system.LossAt(node) == dispatch::StoreOutage::kGlobal);
   }
 }
 
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -96,7 +96,7 @@
   Begin(CallKind::kSubmit, false);
   CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
   LONGS_EQUAL(0, Newest<RespondToCall>()->retry_after.value().ms());
-  front_end.NoteStoreLoss(StoreOutage::kEverywhere);
+  front_end.NoteStoreLoss(StoreOutage::kGlobal);
   Begin(CallKind::kSubmit, false);
   LONGS_EQUAL(FrontEndOptions().retry_after.ms(),
               Newest<RespondToCall>()->retry_after.value().ms());
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -115,12 +115,12 @@
   Round(Word(true, Duration(620)));
   CHECK_TRUE(check.loss() == StoreOutage::kUnknown);
   Round(Word(false, Duration(920)));
-  CHECK_TRUE(check.loss() == StoreOutage::kEverywhere);
+  CHECK_TRUE(check.loss() == StoreOutage::kGlobal);
 }
 
 TEST(PeerCheck, PeersWithoutTheStoreTellOfALossEverywhere) {
   Round(Word(false, Duration(2000)));
-  CHECK_TRUE(check.loss() == StoreOutage::kEverywhere);
+  CHECK_TRUE(check.loss() == StoreOutage::kGlobal);
 }
 
 TEST(PeerCheck, SilentPeersTellOfANodeThatIsCutOff) {
