--- a/src/dispatch/late_orders.cc
+++ b/src/dispatch/late_orders.cc
@@ -19,7 +19,7 @@
   start.until = std::max(start.until, until);
 }
 
-bool LateOrders::MayCome(const RunKey& run, TimePoint now) const {
+bool LateOrders::MayArrive(const RunKey& run, TimePoint now) const {
   const auto found = starts_.find(run);
   return found != starts_.end() && now < found->second.until;
 }
--- a/src/dispatch/late_orders.h
+++ b/src/dispatch/late_orders.h
@@ -32,7 +32,7 @@
   /// `until`; forgets what can not come any more.
   void NoteStart(const RunKey& run, const Resources& need, TimePoint now,
                  TimePoint until);
-  bool MayCome(const RunKey& run, TimePoint now) const;
+  bool MayArrive(const RunKey& run, TimePoint now) const;
   /// Starts that may come after `now`; the others are forgotten.
   const std::map<RunKey, Start>& StartsAfter(TimePoint now);
 
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -42,7 +42,7 @@
   // A start without an answer may be what the life before went by.
   const bool may_start_late =
       run.phase == RunPhase::kStarting ||
-      before.late_orders.MayCome({name, run.number}, now);
+      before.late_orders.MayArrive({name, run.number}, now);
   return may_start_late ? NextLifeRole::kLostAndMayCome : NextLifeRole::kLost;
 }
 
--- a/test/late-orders-test.cc
+++ b/test/late-orders-test.cc
@@ -17,8 +17,8 @@
 
 TEST(LateOrders, StartMayComeUntilItsTimeIsOver) {
   orders.NoteStart(run, need, TimePoint(1000), TimePoint(5000));
-  CHECK_TRUE(orders.MayCome(run, TimePoint(4999)));
-  CHECK_FALSE(orders.MayCome(run, TimePoint(5000)));
+  CHECK_TRUE(orders.MayArrive(run, TimePoint(4999)));
+  CHECK_FALSE(orders.MayArrive(run, TimePoint(5000)));
   LONGS_EQUAL(1, orders.StartsAfter(TimePoint(4999)).size());
   LONGS_EQUAL(0, orders.StartsAfter(TimePoint(5000)).size());
 }
@@ -26,7 +26,7 @@
 TEST(LateOrders, StartThatIsSentAgainMayComeAsLateAsTheLastSending) {
   orders.NoteStart(run, need, TimePoint(1000), TimePoint(5000));
   orders.NoteStart(run, need, TimePoint(1000), TimePoint(3000));
-  CHECK_TRUE(orders.MayCome(run, TimePoint(4000)));
+  CHECK_TRUE(orders.MayArrive(run, TimePoint(4000)));
 }
 
 TEST(LateOrders, StartsThatCanNotComeAnyMoreAreForgottenWithTheNextOne) {
@@ -37,7 +37,7 @@
 
 TEST(LateOrders, OtherRunOfTheTaskIsAnotherStart) {
   orders.NoteStart(run, need, TimePoint(1000), TimePoint(5000));
-  CHECK_FALSE(orders.MayCome({run.first, 4}, TimePoint(1000)));
+  CHECK_FALSE(orders.MayArrive({run.first, 4}, TimePoint(1000)));
 }
 
 TEST(LateOrders, GrantsCountUpToTheLatestArrival) {
