--- a/src/dispatch/late_orders.cc
+++ b/src/dispatch/late_orders.cc
@@ -13,7 +13,7 @@
 
 void LateOrders::NoteStart(const RunKey& run, const Resources& need,
                            TimePoint now, TimePoint until) {
-  StartsAfter(now);
+  StartsArrivingAfter(now);
   Start& start = starts_[run];
   start.need = need;
   start.until = std::max(start.until, until);
@@ -24,7 +24,7 @@
   return found != starts_.end() && now < found->second.until;
 }
 
-const std::map<RunKey, LateOrders::Start>& LateOrders::StartsAfter(
+const std::map<RunKey, LateOrders::Start>& LateOrders::StartsArrivingAfter(
     TimePoint now) {
   for (auto it = starts_.begin(); it != starts_.end();) {
     it = it->second.until <= now ? starts_.erase(it) : std::next(it);
--- a/src/dispatch/late_orders.h
+++ b/src/dispatch/late_orders.h
@@ -34,7 +34,7 @@
                  TimePoint until);
   bool MayArrive(const RunKey& run, TimePoint now) const;
   /// Starts that may come after `now`; the others are forgotten.
-  const std::map<RunKey, Start>& StartsAfter(TimePoint now);
+  const std::map<RunKey, Start>& StartsArrivingAfter(TimePoint now);
 
   /// Notes a call without an answer that grants a lease, and may come up to
   /// `until`.
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -162,7 +162,8 @@
 }
 
 void Scheduler::BarLateStarts(Context& ctx, Runner* next) {
-  for (const auto& [key, start] : next->late_orders.StartsAfter(ctx.now())) {
+  for (const auto& [key, start] :
+       next->late_orders.StartsArrivingAfter(ctx.now())) {
     if (next->FindRun(key.first, key.second) != nullptr) continue;
     OrphanedRun& orphans = next->AddOrphan(key, start.need);
     orphans.may_start_late = true;
--- a/test/late-orders-test.cc
+++ b/test/late-orders-test.cc
@@ -19,8 +19,8 @@
   orders.NoteStart(run, need, TimePoint(1000), TimePoint(5000));
   CHECK_TRUE(orders.MayArrive(run, TimePoint(4999)));
   CHECK_FALSE(orders.MayArrive(run, TimePoint(5000)));
-  LONGS_EQUAL(1, orders.StartsAfter(TimePoint(4999)).size());
-  LONGS_EQUAL(0, orders.StartsAfter(TimePoint(5000)).size());
+  LONGS_EQUAL(1, orders.StartsArrivingAfter(TimePoint(4999)).size());
+  LONGS_EQUAL(0, orders.StartsArrivingAfter(TimePoint(5000)).size());
 }
 
 TEST(LateOrders, StartThatIsSentAgainMayComeAsLateAsTheLastSending) {
@@ -32,7 +32,7 @@
 TEST(LateOrders, StartsThatCanNotComeAnyMoreAreForgottenWithTheNextOne) {
   orders.NoteStart(run, need, TimePoint(1000), TimePoint(2000));
   orders.NoteStart({run.first, 4}, need, TimePoint(2000), TimePoint(9000));
-  LONGS_EQUAL(1, orders.StartsAfter(TimePoint(1500)).size());
+  LONGS_EQUAL(1, orders.StartsArrivingAfter(TimePoint(1500)).size());
 }
 
 TEST(LateOrders, OtherRunOfTheTaskIsAnotherStart) {
