--- a/src/dispatch/late_orders.cc
+++ b/src/dispatch/late_orders.cc
@@ -32,7 +32,7 @@
   return starts_;
 }
 
-void LateOrders::NoteGrant(TimePoint until) {
+void LateOrders::RecordGrant(TimePoint until) {
   grants_until_ = std::max(grants_until_, until);
 }
 
--- a/src/dispatch/late_orders.h
+++ b/src/dispatch/late_orders.h
@@ -38,7 +38,7 @@
 
   /// Notes a call without an answer that grants a lease, and may come up to
   /// `until`.
-  void NoteGrant(TimePoint until);
+  void RecordGrant(TimePoint until);
   /// Up to then such a call may come.
   TimePoint grants_until() const { return grants_until_; }
 
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -80,7 +80,7 @@
 
 void Scheduler::MissPoll(Context& ctx, Runner* runner, OrderOutcome outcome) {
   if (outcome == OrderOutcome::kLost && runner->poll_grants_lease) {
-    runner->late_orders.NoteGrant(ctx.now() + options_.late_order);
+    runner->late_orders.RecordGrant(ctx.now() + options_.late_order);
   }
   MissAnswer(ctx, runner);
 }
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -125,7 +125,7 @@
         return entry.second.phase == RunPhase::kStarting;
       });
   if (start_under_way) {
-    before->late_orders.NoteGrant(now + options_.late_order);
+    before->late_orders.RecordGrant(now + options_.late_order);
   }
   const bool granted_now = before->poll_grants_lease;
   const TimePoint poll_sent_at = before->poll_sent_at;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -82,7 +82,7 @@
   const TimePoint until = now + options_.late_order;
   runner->late_orders.NoteStart({answer.task, answer.run}, run.need, now,
                                 until);
-  runner->late_orders.NoteGrant(until);
+  runner->late_orders.RecordGrant(until);
 }
 
 void Scheduler::TakeFailedStart(Context& ctx, Runner* runner,
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -434,7 +434,7 @@
   Runner* runner = AddRunner("i-1");
   runner->Heard(now, 1);
   constexpr Duration kLate{12500};
-  runner->late_orders.NoteGrant(now + kLate);
+  runner->late_orders.RecordGrant(now + kLate);
   const Duration lease = FleetOptions().run_lease;
   CHECK_TRUE(runner->DeferAcknowledgement(1, now, lease) > now + kLate + lease);
 }
--- a/test/late-orders-test.cc
+++ b/test/late-orders-test.cc
@@ -41,8 +41,8 @@
 }
 
 TEST(LateOrders, GrantsCountUpToTheLatestArrival) {
-  orders.NoteGrant(TimePoint(7000));
-  orders.NoteGrant(TimePoint(6000));
+  orders.RecordGrant(TimePoint(7000));
+  orders.RecordGrant(TimePoint(6000));
   CHECK_TRUE(orders.grants_until() == TimePoint(7000));
 }
 
