--- a/src/dispatch/late_orders.cc
+++ b/src/dispatch/late_orders.cc
@@ -11,8 +11,8 @@
 
 namespace limeledge::dispatch {
 
-void LateOrders::NoteStart(const RunKey& run, const Resources& need,
-                           TimePoint now, TimePoint until) {
+void LateOrders::RecordStart(const RunKey& run, const Resources& need,
+                             TimePoint now, TimePoint until) {
   StartsArrivingAfter(now);
   Start& start = starts_[run];
   start.need = need;
--- a/src/dispatch/late_orders.h
+++ b/src/dispatch/late_orders.h
@@ -30,8 +30,8 @@
 
   /// Notes a sending of the start without an answer, which may come up to
   /// `until`; forgets what can not come any more.
-  void NoteStart(const RunKey& run, const Resources& need, TimePoint now,
-                 TimePoint until);
+  void RecordStart(const RunKey& run, const Resources& need, TimePoint now,
+                   TimePoint until);
   bool MayArrive(const RunKey& run, TimePoint now) const;
   /// Starts that may come after `now`; the others are forgotten.
   const std::map<RunKey, Start>& StartsArrivingAfter(TimePoint now);
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -80,8 +80,8 @@
       answer.earlier_attempt_pending || answer.outcome == OrderOutcome::kLost;
   if (!open) return;
   const TimePoint until = now + options_.late_order;
-  runner->late_orders.NoteStart({answer.task, answer.run}, run.need, now,
-                                until);
+  runner->late_orders.RecordStart({answer.task, answer.run}, run.need, now,
+                                  until);
   runner->late_orders.RecordGrant(until);
 }
 
--- a/test/late-orders-test.cc
+++ b/test/late-orders-test.cc
@@ -16,7 +16,7 @@
 };
 
 TEST(LateOrders, StartMayComeUntilItsTimeIsOver) {
-  orders.NoteStart(run, need, TimePoint(1000), TimePoint(5000));
+  orders.RecordStart(run, need, TimePoint(1000), TimePoint(5000));
   CHECK_TRUE(orders.MayArrive(run, TimePoint(4999)));
   CHECK_FALSE(orders.MayArrive(run, TimePoint(5000)));
   LONGS_EQUAL(1, orders.StartsArrivingAfter(TimePoint(4999)).size());
@@ -24,19 +24,19 @@
 }
 
 TEST(LateOrders, StartThatIsSentAgainMayComeAsLateAsTheLastSending) {
-  orders.NoteStart(run, need, TimePoint(1000), TimePoint(5000));
-  orders.NoteStart(run, need, TimePoint(1000), TimePoint(3000));
+  orders.RecordStart(run, need, TimePoint(1000), TimePoint(5000));
+  orders.RecordStart(run, need, TimePoint(1000), TimePoint(3000));
   CHECK_TRUE(orders.MayArrive(run, TimePoint(4000)));
 }
 
 TEST(LateOrders, StartsThatCanNotComeAnyMoreAreForgottenWithTheNextOne) {
-  orders.NoteStart(run, need, TimePoint(1000), TimePoint(2000));
-  orders.NoteStart({run.first, 4}, need, TimePoint(2000), TimePoint(9000));
+  orders.RecordStart(run, need, TimePoint(1000), TimePoint(2000));
+  orders.RecordStart({run.first, 4}, need, TimePoint(2000), TimePoint(9000));
   LONGS_EQUAL(1, orders.StartsArrivingAfter(TimePoint(1500)).size());
 }
 
 TEST(LateOrders, OtherRunOfTheTaskIsAnotherStart) {
-  orders.NoteStart(run, need, TimePoint(1000), TimePoint(5000));
+  orders.RecordStart(run, need, TimePoint(1000), TimePoint(5000));
   CHECK_FALSE(orders.MayArrive({run.first, 4}, TimePoint(1000)));
 }
 
