--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -204,7 +204,7 @@
   const RunnerId& id() const { return info_.id; }
   const IncarnationId& incarnation() const { return life_; }
   /// Lives that were seen under this id, this one included.
-  int lives() const { return lives_; }
+  int incarnations() const { return lives_; }
   const std::string& rack() const { return info_.rack; }
 
   /// Takes over what the list says now.
--- a/src/dispatch/scheduler_dump.cc
+++ b/src/dispatch/scheduler_dump.cc
@@ -35,7 +35,7 @@
   Json::Value json;
   json["address"] = runner.info().address;
   json["born"] = ToString(runner.incarnation().start_time);
-  json["lives"] = runner.lives();
+  json["lives"] = runner.incarnations();
   json["rack"] = runner.rack();
   json["listed"] = runner.listed();
   json["reachable"] = runner.reachable();
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -74,7 +74,7 @@
           {{"runner", old_life.runner.value()},
            {"born", ToString(answer.start_time)},
            {"before", ToString(old_life.start_time)},
-           {"lives", std::to_string(before->lives() + 1)},
+           {"lives", std::to_string(before->incarnations() + 1)},
            {"lost", std::to_string(lost.size())},
            {"kept", std::to_string(moved.size())},
            {"to_be_ruled_out", std::to_string(to_bar.size())}});
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -371,7 +371,7 @@
   const Runner* next = fleet.StartIncarnation(before, StartTime(1700), now);
   CHECK_TRUE(next->incarnation() ==
              IncarnationId(RunnerId("i-1"), StartTime(1700)));
-  LONGS_EQUAL(2, next->lives());
+  LONGS_EQUAL(2, next->incarnations());
   CHECK_TRUE(fleet.Find(IncarnationId(RunnerId("i-1"), StartTime())) ==
              nullptr);
   CHECK_FALSE(next->heard());
