--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -196,9 +196,9 @@
   }
   if (info.start_time != runner->incarnation().start_time)
     TakeHint(ctx, runner, info.start_time);
-  const bool drained = runner->drains_since().has_value();
+  const bool drained = runner->draining_since().has_value();
   runner->Update(info, ctx.now());
-  if (drained || !runner->drains_since().has_value()) return;
+  if (drained || !runner->draining_since().has_value()) return;
   ctx.Log(LogId::kRunnerDrains,
           {{"runner", info.id.value()},
            {"leaves_in_ms", std::to_string(info.leaves_in.ms())}});
@@ -375,7 +375,7 @@
 
 bool Fleet::MayWork(const Runner& runner, TimePoint now) const {
   if (runner.ended || !runner.reachable()) return false;
-  if (runner.drains_since().has_value()) return false;
+  if (runner.draining_since().has_value()) return false;
   if (now < runner.avoid_until) return false;
   return runner.listed() || MayHaveLapsed(now);
 }
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -217,7 +217,7 @@
   /// though its entry did not say so.
   void MarkLeaving(TimePoint now, Duration leaves_in);
   /// When the runner was first seen to leave; nothing while it does not.
-  std::optional<TimePoint> drains_since() const { return drains_since_; }
+  std::optional<TimePoint> draining_since() const { return drains_since_; }
 
   std::map<TaskName, Run>& runs() { return runs_; }
   const std::map<TaskName, Run>& runs() const { return runs_; }
--- a/src/dispatch/scheduler_dump.cc
+++ b/src/dispatch/scheduler_dump.cc
@@ -39,7 +39,7 @@
   json["rack"] = runner.rack();
   json["listed"] = runner.listed();
   json["reachable"] = runner.reachable();
-  json["draining"] = runner.drains_since().has_value();
+  json["draining"] = runner.draining_since().has_value();
   json["avoided_ms"] =
       Json::Int64(std::max<std::int64_t>(0, (runner.avoid_until - now).ms()));
   json["slowness"] = runner.slowness();
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -134,7 +134,7 @@
   // A member that starts alone holds its room for seconds, to end alone.
   if (GangIsOver(*job, name, run.number)) return StartObstacle::kGangOver;
   if (releasing_) return StartObstacle::kReleasing;
-  if (runner.drains_since().has_value()) return StartObstacle::kRunnerLeaves;
+  if (runner.draining_since().has_value()) return StartObstacle::kRunnerLeaves;
   if (catalog_->drained_halls.count(runner.info().hall) != 0) {
     return StartObstacle::kHallEmptied;
   }
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -134,7 +134,7 @@
 
 void Scheduler::CheckLeaving(Context& ctx, Runner* runner, const TaskName& name,
                              const Run& run) {
-  if (!runner->drains_since().has_value() || run.stopping) return;
+  if (!runner->draining_since().has_value() || run.stopping) return;
   if (run.phase != RunPhase::kRunning) return;
   const Job* job = book_.Find(name.job);
   if (job == nullptr) return;
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -205,7 +205,7 @@
   now = now + Duration(6000);
   ListNone();
   LONGS_EQUAL(1, fleet.Seats(now).size());
-  CHECK_FALSE(runner->drains_since().has_value());
+  CHECK_FALSE(runner->draining_since().has_value());
   LONGS_EQUAL(0, fleet.Seats(now + FleetOptions().unlisted_grace).size());
 }
 
@@ -217,7 +217,7 @@
     ListNone();
     now = now + FleetOptions().list_interval;
   }
-  CHECK_TRUE(runner->drains_since().has_value());
+  CHECK_TRUE(runner->draining_since().has_value());
 }
 
 // Runners may leave without ever saying so: their entry just goes.
@@ -231,7 +231,7 @@
   now = now + FleetOptions().list_interval;
   ListNone();
   LONGS_EQUAL(0, fleet.Seats(now).size());
-  CHECK_TRUE(runner->drains_since().has_value());
+  CHECK_TRUE(runner->draining_since().has_value());
   CHECK_TRUE(runner->leaves_at == now + FleetOptions().unannounced_stay);
 }
 
@@ -242,7 +242,7 @@
   ListNone();
   now = now + Duration(4000);
   AddRunner("i-1");
-  CHECK_FALSE(runner->drains_since().has_value());
+  CHECK_FALSE(runner->draining_since().has_value());
   LONGS_EQUAL(1, fleet.Seats(now).size());
 }
 
@@ -382,7 +382,7 @@
   LONGS_EQUAL(0, next->failures_in_a_row);
   CHECK_TRUE(next->avoid_until <= now);
   CHECK_TRUE(next->suspect_until <= now);
-  CHECK_FALSE(next->drains_since().has_value());
+  CHECK_FALSE(next->draining_since().has_value());
   CHECK_FALSE(next->ended);
   DOUBLES_EQUAL(1, next->slowness(), 0);
   LONGS_EQUAL(8, next->free_capacity().accelerators);
--- a/test/runner-list-test.cc
+++ b/test/runner-list-test.cc
@@ -65,7 +65,7 @@
   }
 
   bool Leaves(const char* id) {
-    return fleet.FindPresent(RunnerId(id))->drains_since().has_value();
+    return fleet.FindPresent(RunnerId(id))->draining_since().has_value();
   }
 };
 
