--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -343,7 +343,7 @@
   const bool leased = !runner->runs().empty() ||
                       !runner->AllEndsAreAcknowledged() || !all_runs_known;
   const bool renew = may_renew && runner->reachable() && leased &&
-                     runner->MayBeGranted(ctx.now());
+                     runner->MayGrantLease(ctx.now());
   if (renew) {
     poll.until_ms = runner->GrantLease(ctx.now(), options_.run_lease);
   }
--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -269,7 +269,7 @@
 }
 
 void Runner::ReleaseDeferredAcknowledgements(TimePoint now) {
-  if (MayBeGranted(now)) held_ends_.clear();
+  if (MayGrantLease(now)) held_ends_.clear();
 }
 
 bool Runner::LeftAsAnnounced() const {
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -317,7 +317,7 @@
   /// Lets ends be told as known again once the lease has run out.
   void ReleaseDeferredAcknowledgements(TimePoint now);
   /// False while the lease is to run out.
-  bool MayBeGranted(TimePoint now) const { return now >= no_grant_until_; }
+  bool MayGrantLease(TimePoint now) const { return now >= no_grant_until_; }
   /// Runs that the runner listed and that nobody waits for.
   std::map<RunKey, OrphanedRun>& orphans() { return unwanted_; }
   /// Notes a run that nobody waits for; it takes `need` until it is forgotten.
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -139,7 +139,7 @@
     return StartObstacle::kHallEmptied;
   }
   if (!runner.reachable()) return StartObstacle::kRunnerSilent;
-  if (!runner.MayBeGranted(now)) return StartObstacle::kLeaseRunsOut;
+  if (!runner.MayGrantLease(now)) return StartObstacle::kLeaseRunsOut;
   if (!runner.HasCapacityFor(run)) return StartObstacle::kNoCapacity;
   if (!GuardsRoom(runner) && !fleet_.KnowsCapacities(now)) {
     return StartObstacle::kRoomUnconfirmed;
