--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -297,7 +297,7 @@
   /// Newest end that was taken in.
   std::int64_t newest_end = 0;
   /// Newest end by a lease that ran out: it ran out after all ends before.
-  std::int64_t newest_lapse = 0;
+  std::int64_t newest_expired_end = 0;
   /// Ends that were taken in and are not stored yet.
   std::set<std::int64_t> unstored_ends;
   /// Ends up to this number need not be told again: they are stored, and none
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -255,7 +255,8 @@
                          const std::vector<ReportedEnd>& ends) {
   for (const ReportedEnd& end : ends) {
     if (end.end != RunEnd::kLeaseExpired) continue;
-    runner->newest_lapse = std::max(runner->newest_lapse, end.number);
+    runner->newest_expired_end =
+        std::max(runner->newest_expired_end, end.number);
   }
   for (const ReportedEnd& end : ends) {
     if (!book_.HasReadPartitionOf(end.task.job)) {
@@ -304,7 +305,7 @@
 bool Scheduler::MustNotBeNoted(const Runner& runner, const ReportedEnd& end,
                                bool written_off) {
   if (end.end != RunEnd::kDone && end.end != RunEnd::kFailed) return false;
-  if (end.number < runner.newest_lapse) return false;
+  if (end.number < runner.newest_expired_end) return false;
   const bool in_use = std::any_of(
       runner.runs().begin(), runner.runs().end(),
       [](const auto& run) { return run.second.phase != RunPhase::kUnsure; });
