--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -308,7 +308,7 @@
   }
   /// Runs that were taken for over though no end of them was told. This life
   /// may tell one yet.
-  std::set<RunKey> written_off;
+  std::set<RunKey> presumed_over;
   /// Keeps an end from being told as known until this life's lease has surely
   /// run out since: `lease` is the longest that is granted. Until then nothing
   /// may be granted. Returns when that is.
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -314,9 +314,9 @@
   void TakeEnd(Context& ctx, Runner* runner, const ReportedEnd& end);
   /// True if the end of a run that nobody waits for must not be told as known
   /// yet: the platform would hold it against the runs that its task had since.
-  /// `written_off`: the run was taken for over without an end.
+  /// `presumed_over`: the run was taken for over without an end.
   bool MustNotBeNoted(const Runner& runner, const ReportedEnd& end,
-                      bool written_off);
+                      bool presumed_over);
   /// Takes in an end of a run that nobody waited for any more.
   void TakeLateEnd(Context& ctx, const Runner& runner, const ReportedEnd& end);
   void TakeRunning(Context& ctx, Runner* runner, const ReportedRun& listed);
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -94,7 +94,7 @@
   if (!names.empty()) loss.with_others = WentWithOthers(*runner);
   for (const TaskName& name : names) {
     NoteLost(ctx, *runner, name, loss);
-    runner->written_off.insert({name, runner->runs().at(name).number});
+    runner->presumed_over.insert({name, runner->runs().at(name).number});
     if (std::find(held.begin(), held.end(), name) != held.end()) continue;
     EndRun(ctx, runner, name, RunEnd::kLeaseExpired, "");
     StopGang(ctx, name);
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -274,9 +274,9 @@
   runner->newest_end = end.number;
   const Run* run = runner->FindRun(end.task, end.run);
   if (run == nullptr) {
-    const bool written_off =
-        runner->written_off.erase({end.task, end.run}) != 0;
-    if (MustNotBeNoted(*runner, end, written_off)) {
+    const bool presumed_over =
+        runner->presumed_over.erase({end.task, end.run}) != 0;
+    if (MustNotBeNoted(*runner, end, presumed_over)) {
       const TimePoint until = runner->DeferAcknowledgement(
           end.number, ctx.now(), options_.fleet.run_lease);
       Avoid(ctx, runner, until - ctx.now(), "its lease is to run out");
@@ -303,7 +303,7 @@
 // runner's clock may have stood still. So it has to run out first. What runs
 // there by now must not go with it.
 bool Scheduler::MustNotBeNoted(const Runner& runner, const ReportedEnd& end,
-                               bool written_off) {
+                               bool presumed_over) {
   if (end.end != RunEnd::kDone && end.end != RunEnd::kFailed) return false;
   if (end.number < runner.newest_expired_end) return false;
   const bool in_use = std::any_of(
@@ -312,9 +312,9 @@
   if (in_use) return false;
   Job* job = book_.Find(end.task.job);
   const Task* task = job == nullptr ? nullptr : job->Find(end.task);
-  if (task == nullptr) return written_off;
+  if (task == nullptr) return presumed_over;
   // A failure that was not counted counts for the platform once it is noted.
-  const bool uncounted = written_off && end.end == RunEnd::kFailed;
+  const bool uncounted = presumed_over && end.end == RunEnd::kFailed;
   return uncounted || task->run > end.run;
 }
 
@@ -433,7 +433,7 @@
            {"runner", runner->id().value()},
            {"born", ToString(runner->incarnation().start_time)},
            {"newest_end", std::to_string(runner->newest_end)}});
-  runner->written_off.insert({name, found->second.number});
+  runner->presumed_over.insert({name, found->second.number});
   EndRun(ctx, runner, name, RunEnd::kLeaseExpired, "");
   StopGang(ctx, name);
 }
