--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -130,7 +130,7 @@
   TimePoint pace_from;
   int pace_percent = 0;
   /// The run began from nothing, near its data: its time can be learnt from.
-  bool learns = false;
+  bool usable_for_estimates = false;
   /// What the run shares its runner's processors with, and how.
   Sharing sharing = Sharing::kNone;
   /// Its task may be what crashed runners before.
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -223,7 +223,8 @@
   run.sharing = job->step_spec(name.step).sharing();
   run.assigned_at = ctx.now();
   run.expected = assignment.expected;
-  run.learns = assignment.near() && job->Find(name)->checkpoint.empty();
+  run.usable_for_estimates =
+      assignment.near() && job->Find(name)->checkpoint.empty();
   run.suspect = IsSuspect(job->Find(name)->losses);
   assignment.runner->Add(name, run);
   const std::string near_ms =
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -148,7 +148,7 @@
   run.stop_answered = false;
   run.percent = 0;
   run.pace_percent = 0;
-  run.learns = false;
+  run.usable_for_estimates = false;
   run.answered_at = ctx.now();
   run.started_at = ctx.now();
   run.progressed_at = ctx.now();
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -67,8 +67,9 @@
 
 void Scheduler::LearnLength(Context& ctx, Job* job, const TaskName& name,
                             Run* run) {
-  if (!run->learns || run->percent < options_.min_learn_percent) return;
-  run->learns = false;
+  if (!run->usable_for_estimates || run->percent < options_.min_learn_percent)
+    return;
+  run->usable_for_estimates = false;
   Step& step = job->occurrences()[name.occurrence].steps[name.step];
   if (step.duration_known) return;
   step.duration_known = true;
