--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -237,8 +237,8 @@
   Duration wait =
       runner.AllEndsAreAcknowledged() ? options_.busy_wait : Duration(0);
   for (const auto& [name, run] : runner.runs()) {
-    const bool open =
-        run.phase == RunPhase::kUnsure || run.phase == RunPhase::kInherited;
+    const bool open = run.phase == RunPhase::kUnconfirmed ||
+                      run.phase == RunPhase::kInherited;
     if (!open) continue;
     wait = std::min(wait, run.stop.open() ? options_.doubt_wait : Duration(0));
   }
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -58,7 +58,7 @@
   /// The runner's next life refused the start.
   kRefused,
   /// The start got no answer; it may still be carried out.
-  kUnsure,
+  kUnconfirmed,
   /// Stored by an earlier scheduler; the runner was not heard yet.
   kInherited,
   kRunning,
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -142,7 +142,7 @@
 void Scheduler::AddCarried(Context& ctx, Runner* next, const TaskName& name,
                            Run run, bool lost) {
   // Its old life's time and progress say nothing here.
-  if (run.phase != RunPhase::kInherited) run.phase = RunPhase::kUnsure;
+  if (run.phase != RunPhase::kInherited) run.phase = RunPhase::kUnconfirmed;
   run.counted_as_lost = run.counted_as_lost || lost;
   run.stop = StopRequest();
   run.stop_answered = false;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -100,7 +100,7 @@
   }
   if (answer.outcome == OrderOutcome::kLost) {
     // It may still come: the next look tells, or a stop rules it out.
-    run->phase = RunPhase::kUnsure;
+    run->phase = RunPhase::kUnconfirmed;
     MissAnswer(ctx, runner);
     return;
   }
@@ -191,7 +191,7 @@
   std::vector<TaskName> of_life_before;
   for (const auto& [name, run] : runner->runs()) {
     const bool may_still_come =
-        run.phase == RunPhase::kUnsure &&
+        run.phase == RunPhase::kUnconfirmed &&
         ctx.now() - run.answered_at < options_.late_order;
     if (may_still_come) continue;
     (IsOfEarlierIncarnation(*runner, run) ? of_life_before : lapsed)
@@ -307,8 +307,9 @@
   if (end.end != RunEnd::kDone && end.end != RunEnd::kFailed) return false;
   if (end.number < runner.newest_expired_end) return false;
   const bool in_use = std::any_of(
-      runner.runs().begin(), runner.runs().end(),
-      [](const auto& run) { return run.second.phase != RunPhase::kUnsure; });
+      runner.runs().begin(), runner.runs().end(), [](const auto& run) {
+        return run.second.phase != RunPhase::kUnconfirmed;
+      });
   if (in_use) return false;
   Job* job = book_.Find(end.task.job);
   const Task* task = job == nullptr ? nullptr : job->Find(end.task);
@@ -356,7 +357,8 @@
   const bool moved = listed.percent != run->percent;
   if (moved) run->progressed_at = ctx.now();
   run->percent = listed.percent;
-  if (run->phase == RunPhase::kInherited || run->phase == RunPhase::kUnsure) {
+  if (run->phase == RunPhase::kInherited ||
+      run->phase == RunPhase::kUnconfirmed) {
     run->phase = RunPhase::kRunning;
   }
   Job* job = book_.Find(listed.task.job);
@@ -407,7 +409,7 @@
     if (run.answered_at >= runner->poll_sent_at) continue;
     if (WasNeverSent(run.phase) || run.phase == RunPhase::kStarting) continue;
     const bool may_still_come =
-        run.phase == RunPhase::kUnsure && !run.stop_answered;
+        run.phase == RunPhase::kUnconfirmed && !run.stop_answered;
     if (may_still_come) {
       unsure.push_back(name);
     } else {
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -321,7 +321,7 @@
   AddRun(runner);
   runner->Heard(now, 500000);
   Run& run = runner->runs().begin()->second;
-  run.phase = RunPhase::kUnsure;
+  run.phase = RunPhase::kUnconfirmed;
   LONGS_EQUAL(0, Poll()->wait.ms());
   runner->poll_in_flight = false;
   run.stop.Sent(now);
