--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -155,7 +155,7 @@
       std::pow(slowness_, 1 - kPaceWeight) * std::pow(bounded, kPaceWeight);
 }
 
-bool Runner::IsSlowBesides(const JobId& job) const {
+bool Runner::IsSlowExcluding(const JobId& job) const {
   const double slowness = job == pace_job_ ? slowness_before_ : slowness_;
   return slowness >= kSlowRunner;
 }
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -353,7 +353,7 @@
   bool IsSlow() const { return slowness_ >= kSlowRunner; }
   /// True if the runner counts as slow by what other jobs showed. A run whose
   /// length was guessed too short is as slow anywhere.
-  bool IsSlowBesides(const JobId& job) const;
+  bool IsSlowExcluding(const JobId& job) const;
   /// Takes in that a run here takes `ratio` times as long as its step's runs
   /// elsewhere.
   void NoteUsualPace(double ratio);
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -58,7 +58,7 @@
                            ? options_.slow_run_ratio
                            : std::max(*factor, options_.slow_run_ratio);
   const bool told_by_others =
-      elsewhere > Duration(0) || runner->IsSlowBesides(job->spec().id);
+      elsewhere > Duration(0) || runner->IsSlowExcluding(job->spec().id);
   if (ratio > bound && told_by_others) {
     MoveFromSlow(ctx, runner, name, run, Duration(std::llround(left)),
                  expected);
