--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -59,8 +59,8 @@
   return keeps_id ? options_.longest_lease : options_.run_lease;
 }
 
-void Fleet::NoteHeard(Runner* runner, TimePoint now,
-                      std::int64_t clock_ms) const {
+void Fleet::HandleAnswer(Runner* runner, TimePoint now,
+                         std::int64_t clock_ms) const {
   const bool first = !runner->heard();
   runner->Heard(now, clock_ms);
   // Its runs need not wait for what was assumed of an unheard one, should it go
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -117,7 +117,7 @@
   /// run, or adds one that is not listed and may hold a lease of that one.
   Runner* FindOrInherit(const IncarnationId& incarnation, TimePoint now);
   /// Notes an answer of the runner that carried its clock.
-  void NoteHeard(Runner* runner, TimePoint now, std::int64_t clock_ms) const;
+  void HandleAnswer(Runner* runner, TimePoint now, std::int64_t clock_ms) const;
   /// Puts the life `start_time` in the place of `before`, which is over and
   /// must not be used any more.
   Runner* StartIncarnation(Runner* before, StartTime start_time, TimePoint now);
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -261,7 +261,7 @@
   /// Notes losses that an earlier scheduler stored.
   void InheritLosses(Context& ctx, const Job& job);
   /// Notes that this life of the runner answers.
-  void NoteHeard(Context& ctx, Runner* runner, std::int64_t clock_ms);
+  void HandleAnswer(Context& ctx, Runner* runner, std::int64_t clock_ms);
   /// The same for an order's answer, which does not tell the life that gave it.
   void NoteOrderHeard(Context& ctx, Runner* runner, std::int64_t clock_ms);
   /// The birth that the entry of a life's runner tells now.
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -231,8 +231,9 @@
   for (const TaskName& name : lost) JudgeTask(ctx, name);
 }
 
-void Scheduler::NoteHeard(Context& ctx, Runner* runner, std::int64_t clock_ms) {
-  fleet_.NoteHeard(runner, ctx.now(), clock_ms);
+void Scheduler::HandleAnswer(Context& ctx, Runner* runner,
+                             std::int64_t clock_ms) {
+  fleet_.HandleAnswer(runner, ctx.now(), clock_ms);
   if (!losses_.HasUnresolved()) return;
   ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kAlive);
   // One that was followed by another does not live on.
@@ -247,7 +248,7 @@
 void Scheduler::NoteOrderHeard(Context& ctx, Runner* runner,
                                std::int64_t clock_ms) {
   if (IsReported(runner->incarnation().start_time) || clock_ms <= 0) return;
-  NoteHeard(ctx, runner, clock_ms);
+  HandleAnswer(ctx, runner, clock_ms);
 }
 
 StartTime Scheduler::ListedBirth(const IncarnationId& incarnation) const {
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -238,7 +238,7 @@
                                   {"born", ToString(answer.start_time)}});
     plan_due_ = true;
   }
-  NoteHeard(ctx, runner, answer.clock_ms);
+  HandleAnswer(ctx, runner, answer.clock_ms);
   runner->delivered_acknowledgement =
       std::max(runner->delivered_acknowledgement, runner->poll_acknowledges);
   runner->next_poll_at = ctx.now();
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -443,7 +443,7 @@
   Runner* runner = Inherit("i-1", StartTime());
   const TimePoint unheard = runner->lease_expires_at();
   now = now + Duration(50);
-  fleet.NoteHeard(runner, now, 500);
+  fleet.HandleAnswer(runner, now, 500);
   CHECK_TRUE(runner->lease_expires_at() < unheard);
   // No lease of 5 s on a clock 2% slow lasts longer, and some lease may.
   CHECK_TRUE(runner->lease_expires_at() >= now + Duration(5100));
@@ -454,7 +454,7 @@
 TEST(Fleet,
      LeaseOfAnEarlierSchedulerIsBoundedByTheLongestOnRunnersThatKeepIds) {
   Runner* runner = Inherit("i-1", StartTime(1700000000000));
-  fleet.NoteHeard(runner, now, 500);
+  fleet.HandleAnswer(runner, now, 500);
   CHECK_TRUE(runner->lease_expires_at() >= now + Duration(10200));
   CHECK_TRUE(runner->lease_expires_at() <= now + Duration(10800));
 }
@@ -464,7 +464,7 @@
   Runner* runner = Inherit("i-1", StartTime(1700000000000));
   runner->RecordLateGrant(now + Duration(12500), Duration(10000));
   const TimePoint foreign = runner->lease_expires_at();
-  fleet.NoteHeard(runner, now, 500);
+  fleet.HandleAnswer(runner, now, 500);
   CHECK_TRUE(runner->lease_expires_at() == foreign);
 }
 
