--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -244,7 +244,7 @@
   heard_clock_ms_ = clock_ms;
 }
 
-void Runner::Missed(TimePoint now) {
+void Runner::RecordMiss(TimePoint now) {
   ++misses_;
   if (!silent_since_.has_value()) silent_since_ = now;
 }
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -236,7 +236,7 @@
   /// Notes an answer of this life that carried the runner's clock.
   void Heard(TimePoint now, std::int64_t clock_ms);
   /// Notes a call that got no answer.
-  void Missed(TimePoint now);
+  void RecordMiss(TimePoint now);
   bool heard() const { return heard_; }
   /// When the newest answer came.
   TimePoint heard_at() const { return heard_at_; }
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -89,7 +89,7 @@
   if (runner->reachable()) {
     ctx.Log(LogId::kRunnerSilent, {{"runner", runner->id().value()}});
   }
-  runner->Missed(ctx.now());
+  runner->RecordMiss(ctx.now());
   // What waits to be started there is placed elsewhere.
   orders_due_.insert(runner->id());
   const Duration pause = std::min(options_.fleet.retry_pause * runner->misses(),
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -79,7 +79,7 @@
   /// The look at the runner got no answer; the next one is due after a pause.
   void LosePoll(Runner * runner) {
     runner->poll_in_flight = false;
-    runner->Missed(now);
+    runner->RecordMiss(now);
     const FleetOptions options;
     runner->next_poll_at =
         now + std::min(options.retry_pause * runner->misses(),
@@ -122,7 +122,7 @@
 TEST(Fleet, RoomIsKnownOnceEachListedRunnerAnsweredOrMissed) {
   Runner* runner = AddRunner("i-1");
   CHECK_FALSE(fleet.KnowsFreeCapacity(now));
-  runner->Missed(now);
+  runner->RecordMiss(now);
   CHECK_TRUE(fleet.KnowsFreeCapacity(now));
 }
 
@@ -150,7 +150,7 @@
   CHECK_TRUE(Poll().has_value());
   const TimePoint over = runner->lease_expires_at();
   runner->poll_in_flight = false;
-  runner->Missed(now);
+  runner->RecordMiss(now);
   now = now + Duration(2000);
   const std::optional<PollRunner> poll = Poll();
   CHECK_TRUE(poll.has_value());
