--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -380,7 +380,7 @@
   return runner.listed() || MayHaveLapsed(now);
 }
 
-std::vector<Candidate> Fleet::Seats(
+std::vector<Candidate> Fleet::Candidates(
     TimePoint now, const std::set<HallId>& drained_halls) const {
   std::vector<Candidate> seats;
   for (const auto& [id, runner] : runners_) {
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -145,7 +145,7 @@
   static OrderTarget TargetOf(const Runner& runner, Epoch epoch);
   /// Runners that may be given work now, but for those in halls that are to be
   /// emptied.
-  std::vector<Candidate> Seats(
+  std::vector<Candidate> Candidates(
       TimePoint now, const std::set<HallId>& drained_halls = {}) const;
   /// False while a new scheduler waits for its first answers from runners: the
   /// room that it sees then is only a part of what there is.
--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -47,7 +47,7 @@
       times_(times),
       advice_(advice),
       jobs_(*jobs),
-      seating_(fleet->Seats(now, catalog.drained_halls)),
+      seating_(fleet->Candidates(now, catalog.drained_halls)),
       knows_free_room_(fleet->KnowsFreeCapacity(now)),
       knows_rooms_(fleet->KnowsCapacities(now)) {
   planner_.next_at_ = kNever;
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -186,17 +186,17 @@
 
 TEST(Fleet, RunnerThatWasNeverHeardGetsNoWork) {
   AddRunner("i-1");
-  CHECK_TRUE(fleet.Seats(now).empty());
+  CHECK_TRUE(fleet.Candidates(now).empty());
 }
 
 TEST(Fleet, DrainingRunnerGetsNoWork) {
   Runner* runner = AddRunner("i-1");
   runner->Heard(now, 500000);
-  LONGS_EQUAL(1, fleet.Seats(now).size());
+  LONGS_EQUAL(1, fleet.Candidates(now).size());
   RunnerInfo info = runner->info();
   info.draining = true;
   runner->Update(info, now);
-  CHECK_TRUE(fleet.Seats(now).empty());
+  CHECK_TRUE(fleet.Candidates(now).empty());
 }
 
 TEST(Fleet, RunnerThatLapsedWhileTheStoreWasAwayIsUsedForAGraceAndThenNot) {
@@ -204,9 +204,9 @@
   runner->Heard(now, 500000);
   now = now + Duration(6000);
   ListNone();
-  LONGS_EQUAL(1, fleet.Seats(now).size());
+  LONGS_EQUAL(1, fleet.Candidates(now).size());
   CHECK_FALSE(runner->draining_since().has_value());
-  LONGS_EQUAL(0, fleet.Seats(now + FleetOptions().unlisted_grace).size());
+  LONGS_EQUAL(0, fleet.Candidates(now + FleetOptions().unlisted_grace).size());
 }
 
 TEST(Fleet, RunnerThatDidNotComeBackAfterTheStoreDidIsTakenForLeaving) {
@@ -230,7 +230,7 @@
   }
   now = now + FleetOptions().list_interval;
   ListNone();
-  LONGS_EQUAL(0, fleet.Seats(now).size());
+  LONGS_EQUAL(0, fleet.Candidates(now).size());
   CHECK_TRUE(runner->draining_since().has_value());
   CHECK_TRUE(runner->leaves_at == now + FleetOptions().unannounced_stay);
 }
@@ -243,7 +243,7 @@
   now = now + Duration(4000);
   AddRunner("i-1");
   CHECK_FALSE(runner->draining_since().has_value());
-  LONGS_EQUAL(1, fleet.Seats(now).size());
+  LONGS_EQUAL(1, fleet.Candidates(now).size());
 }
 
 TEST(Fleet, UnreadableListSaysNothingOfRunners) {
