--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -412,7 +412,7 @@
   });
 }
 
-void Fleet::DropGone(Context& ctx) {
+void Fleet::RemoveGone(Context& ctx) {
   for (auto it = runners_.begin(); it != runners_.end();) {
     const Runner& runner = *it->second;
     const bool removed =
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -158,7 +158,7 @@
   /// it was asked for.
   void HandleProcessPause() { list_is_old_ = list_under_way_; }
   /// Drops runners that are gone and hold nothing.
-  void DropGone(Context& ctx);
+  void RemoveGone(Context& ctx);
 
  private:
   /// The longest lease that an earlier scheduler may have granted. A runner
--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -251,7 +251,7 @@
   next_check_ = ctx.now() + kCheckInterval;
   CheckRuns(ctx);
   SettleOverdue(ctx);
-  fleet_.DropGone(ctx);
+  fleet_.RemoveGone(ctx);
   if (!releasing_) cleaner_.Work(ctx, &book_, &writer_);
 }
 
