--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -127,7 +127,7 @@
   /// When `percent` last changed.
   TimePoint progressed_at;
   /// Where the newest measure of the run's pace began.
-  TimePoint pace_from;
+  TimePoint pace_measured_from;
   int pace_percent = 0;
   /// The run began from nothing, near its data: its time can be learnt from.
   bool usable_for_estimates = false;
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -152,7 +152,7 @@
   run.answered_at = ctx.now();
   run.started_at = ctx.now();
   run.progressed_at = ctx.now();
-  run.pace_from = TimePoint();
+  run.pace_measured_from = TimePoint();
   next->Add(name, run);
   Job* job = book_.Find(name.job);
   // The row of a run that is still to be judged goes on naming its life.
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -23,14 +23,14 @@
 void Scheduler::MeasurePace(Context& ctx, Runner* runner, Job* job,
                             const TaskName& name, Run* run) {
   const StepSpec& step = job->step_spec(name.step);
-  if (step.long_running || run->pace_from.ms() == 0) return;
-  const Duration elapsed = ctx.now() - run->pace_from;
+  if (step.long_running || run->pace_measured_from.ms() == 0) return;
+  const Duration elapsed = ctx.now() - run->pace_measured_from;
   if (elapsed < options_.pace_interval) return;
   // A gang that has not begun shows no progress anywhere.
   if (run->percent == 0) return;
   const int done = std::max(1, run->percent - run->pace_percent);
   const double length = static_cast<double>((elapsed * kAllDone).ms()) / done;
-  run->pace_from = ctx.now();
+  run->pace_measured_from = ctx.now();
   run->pace_percent = run->percent;
   JudgePace(ctx, runner, job, name, *run, length);
   LearnLength(ctx, job, name, run);
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -66,7 +66,7 @@
     run->phase = RunPhase::kRunning;
     run->started_at = ctx.now();
     run->progressed_at = ctx.now();
-    run->pace_from = ctx.now();
+    run->pace_measured_from = ctx.now();
     if (run->stopping) AskStop(ctx, runner, answer.task);
     return LeaseStatus::kHeld;
   }
