--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -145,7 +145,7 @@
   leaves_at = now + leaves_in;
 }
 
-void Runner::NotePace(double ratio, const JobId& job) {
+void Runner::RecordPace(double ratio, const JobId& job) {
   if (job != pace_job_) {
     pace_job_ = job;
     slowness_before_ = slowness_;
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -345,7 +345,7 @@
   TimePoint leaves_at;
   /// Takes in that the pace of a run of `job` made it take `ratio` times as
   /// long as expected.
-  void NotePace(double ratio, const JobId& job);
+  void RecordPace(double ratio, const JobId& job);
   /// Time of runs here against their expected time; 1 for as expected.
   double slowness() const { return slowness_; }
   /// Lets a suspicion of slowness fade by what a second does to it.
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -51,7 +51,7 @@
   if (!factor.has_value()) return;
   const Duration expected = std::max({run.expected, elsewhere, Duration(1)});
   const double ratio = length / static_cast<double>(expected.ms());
-  runner->NotePace(ratio, job->spec().id);
+  runner->RecordPace(ratio, job->spec().id);
   const double left = length * (kAllDone - run.percent) / kAllDone;
   // Known lengths of the step's other runs are a surer ground than guesses.
   const double bound = elsewhere > Duration(0)
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -367,7 +367,7 @@
   before->ended = true;
   before->waiting_starts.emplace_back(
       TaskName{JobId("00000000000000aa"), 0, 0, 0}, 1);
-  before->NotePace(8, JobId("00000000000000aa"));
+  before->RecordPace(8, JobId("00000000000000aa"));
   const Runner* next = fleet.StartIncarnation(before, StartTime(1700), now);
   CHECK_TRUE(next->incarnation() ==
              IncarnationId(RunnerId("i-1"), StartTime(1700)));
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -149,7 +149,7 @@
 TEST(Placement, SlowRunnerIsTakenLast) {
   Add("slow", "r1-1", 2);
   Add("sound", "r1-1", 8);
-  for (int i = 0; i < 5; ++i) runners[0]->NotePace(6, JobId("slow"));
+  for (int i = 0; i < 5; ++i) runners[0]->RecordPace(6, JobId("slow"));
   CandidatePool seating = Seats();
   STRCMP_EQUAL("sound",
                seating.PlaceOne(Request(1))->runner->id().value().c_str());
@@ -203,7 +203,7 @@
   seating.seats()[1].suspect = true;
   // Runs there take many times as long as expected.
   for (int i = 0; i < 10; ++i) {
-    seating.seats()[2].runner->NotePace(10, JobId("a"));
+    seating.seats()[2].runner->RecordPace(10, JobId("a"));
   }
   CHECK_TRUE(seating.seats()[2].runner->IsSlow());
   const std::set<IncarnationId> avoided = {{RunnerId("avoided"), StartTime()}};
