--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -160,7 +160,7 @@
   return slowness >= kSlowRunner;
 }
 
-void Runner::NoteUsualPace(double ratio) {
+void Runner::RecordUsualPace(double ratio) {
   if (ratio > kUnusualPace || ratio < 1 / kUnusualPace) return;
   usual_pace_ += kUsualPaceWeight * (std::log(ratio) - usual_pace_);
 }
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -356,7 +356,7 @@
   bool IsSlowExcluding(const JobId& job) const;
   /// Takes in that a run here takes `ratio` times as long as its step's runs
   /// elsewhere.
-  void NoteUsualPace(double ratio);
+  void RecordUsualPace(double ratio);
   /// How much longer runs usually take here than elsewhere, slowly learnt.
   double usual_pace() const;
   /// All that ran in this life is over.
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -42,7 +42,7 @@
   const Duration elsewhere = step.MeanDurationElsewhere(runner->incarnation());
   const Duration seen(std::llround(length));
   if (elsewhere > Duration(0)) {
-    runner->NoteUsualPace(length / static_cast<double>(elsewhere.ms()));
+    runner->RecordUsualPace(length / static_cast<double>(elsewhere.ms()));
   }
   Duration& shortest = step.observed_durations[runner->incarnation()];
   shortest = shortest == Duration(0) ? seen : std::min(shortest, seen);
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -158,7 +158,7 @@
 TEST(Placement, UrgentWorkPrefersUsuallyFasterRunners) {
   Add("leisurely", "r1-1", 2);
   Add("fast", "r1-1", 8);
-  for (int i = 0; i < 30; ++i) runners[0]->NoteUsualPace(1.3);
+  for (int i = 0; i < 30; ++i) runners[0]->RecordUsualPace(1.3);
   PlacementRequest request = Request(1);
   request.prefers_fast = true;
   CandidatePool seating = Seats();
