--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -51,7 +51,7 @@
   }
   UpdateReady(ctx);
   peers_.Work(ctx, StoreAnswers());
-  front_end_.NoteStoreLoss(peers_.loss());
+  front_end_.NoteStoreLoss(peers_.outage());
   const bool lingers = ctx.now() - stop_asked_at_ < options_.linger;
   const bool handed_over = scheduler_ == nullptr && front_end_.idle();
   const bool must_go = ctx.now() - stop_asked_at_ >= options_.max_shutdown_time;
@@ -212,7 +212,7 @@
   json["ready"] = ready_;
   json["stopping"] = stopping_;
   json["store_answers"] = StoreAnswers();
-  json["store_lost"] = ToString(peers_.loss());
+  json["store_lost"] = ToString(peers_.outage());
   const Catalog* catalog = catalog_.catalog();
   if (catalog != nullptr) {
     json["catalog"] = Json::Int64(catalog->version.value());
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -73,7 +73,7 @@
   /// False while the store counts as lost to this node.
   bool StoreAnswers() const;
   /// Why the store does not answer this node, as far as that is known.
-  StoreOutage store_loss() const { return peers_.loss(); }
+  StoreOutage store_loss() const { return peers_.outage(); }
   /// When the store last answered a call of this node.
   TimePoint store_answered_at() const { return patience_.answered_at(); }
 
--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-const char* ToString(StoreOutage loss) {
-  switch (loss) {
+const char* ToString(StoreOutage outage) {
+  switch (outage) {
     case StoreOutage::kUnknown:
       return "unknown";
     case StoreOutage::kLocal:
@@ -159,8 +159,8 @@
     // It may not have noticed yet; the next round tells.
     return;
   }
-  const StoreOutage loss = Judge();
-  if (loss != StoreOutage::kUnknown) SetLoss(ctx, loss);
+  const StoreOutage outage = Judge();
+  if (outage != StoreOutage::kUnknown) SetLoss(ctx, outage);
 }
 
 StoreOutage PeerCheck::Judge() const {
@@ -173,11 +173,11 @@
   return none_served ? StoreOutage::kGlobal : StoreOutage::kUnknown;
 }
 
-void PeerCheck::SetLoss(Context& ctx, StoreOutage loss) {
-  if (loss == loss_) return;
-  loss_ = loss;
-  if (loss == StoreOutage::kUnknown) return;
-  ctx.Log(LogId::kStoreLossJudged, {{"store_lost", ToString(loss)},
+void PeerCheck::SetLoss(Context& ctx, StoreOutage outage) {
+  if (outage == loss_) return;
+  loss_ = outage;
+  if (outage == StoreOutage::kUnknown) return;
+  ctx.Log(LogId::kStoreLossJudged, {{"store_lost", ToString(outage)},
                                     {"peers", std::to_string(peers_.size())},
                                     {"silent", std::to_string(round_.silent)},
                                     {"lost_too", std::to_string(round_.lost)}});
--- a/src/dispatch/peer_check.h
+++ b/src/dispatch/peer_check.h
@@ -49,7 +49,7 @@
   kGlobal,
 };
 
-const char* ToString(StoreOutage loss);
+const char* ToString(StoreOutage outage);
 
 /// Keeps a row with this node's address in the store, and asks the others while
 /// the store is lost. Peers that hear nothing of each other nor of the store
@@ -75,7 +75,7 @@
   /// Takes in what a peer tells of the store.
   void Handle(Context& ctx, const PeerReplied& answer);
 
-  StoreOutage loss() const { return loss_; }
+  StoreOutage outage() const { return loss_; }
 
  private:
   struct Round {
@@ -90,7 +90,7 @@
   void Ask(Context& ctx);
   /// Judges by the answers of the round so far.
   StoreOutage Judge() const;
-  void SetLoss(Context& ctx, StoreOutage loss);
+  void SetLoss(Context& ctx, StoreOutage outage);
 
   PeerCheckOptions options_;
   std::string instance_;
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -107,25 +107,25 @@
 
 TEST(PeerCheck, PeerThatTheStoreAnsweredSinceTellsOfALossHereOnly) {
   Round(Word(true, Duration(100)));
-  CHECK_TRUE(check.loss() == StoreOutage::kLocal);
+  CHECK_TRUE(check.outage() == StoreOutage::kLocal);
 }
 
 // Peers notice an outage some tenths of a second one after the other.
 TEST(PeerCheck, PeerThatTheStoreAnsweredBeforeTheLossTellsNothing) {
   Round(Word(true, Duration(620)));
-  CHECK_TRUE(check.loss() == StoreOutage::kUnknown);
+  CHECK_TRUE(check.outage() == StoreOutage::kUnknown);
   Round(Word(false, Duration(920)));
-  CHECK_TRUE(check.loss() == StoreOutage::kGlobal);
+  CHECK_TRUE(check.outage() == StoreOutage::kGlobal);
 }
 
 TEST(PeerCheck, PeersWithoutTheStoreTellOfALossEverywhere) {
   Round(Word(false, Duration(2000)));
-  CHECK_TRUE(check.loss() == StoreOutage::kGlobal);
+  CHECK_TRUE(check.outage() == StoreOutage::kGlobal);
 }
 
 TEST(PeerCheck, SilentPeersTellOfANodeThatIsCutOff) {
   Round(PeerReplied());
-  CHECK_TRUE(check.loss() == StoreOutage::kLocal);
+  CHECK_TRUE(check.outage() == StoreOutage::kLocal);
 }
 
 TEST(PeerCheck, OneSilentPeerAloneTellsNothing) {
@@ -139,7 +139,7 @@
   patience.Sent(Ticket(902), now);
   patience.Ended(Ticket(902), now, false);
   Round(PeerReplied());
-  CHECK_TRUE(check.loss() == StoreOutage::kUnknown);
+  CHECK_TRUE(check.outage() == StoreOutage::kUnknown);
 }
 
 TEST(PeerCheck, OtherPeersAreAskedInTheNextRound) {
@@ -156,7 +156,7 @@
 TEST(PeerCheck, LossIsForgottenOnceTheStoreAnswers) {
   Round(Word(false, Duration(2000)));
   Work(true);
-  CHECK_TRUE(check.loss() == StoreOutage::kUnknown);
+  CHECK_TRUE(check.outage() == StoreOutage::kUnknown);
 }
 
 TEST(PeerCheck, AnswerOfAnEarlierRoundIsPassedOver) {
@@ -168,7 +168,7 @@
   late.address = early;
   Context ctx = NewContext();
   check.Handle(ctx, late);
-  CHECK_TRUE(check.loss() == StoreOutage::kUnknown);
+  CHECK_TRUE(check.outage() == StoreOutage::kUnknown);
 }
 
 TEST(PeerCheck, RowsThatNobodyRenewedAreClearedAway) {
