--- a/src/dispatch/state_writer.cc
+++ b/src/dispatch/state_writer.cc
@@ -138,12 +138,12 @@
   sent_.clear();
 }
 
-StateWriter::Verdict StateWriter::Handle(Context& ctx,
-                                         const CommitCompleted& answer) {
+StateWriter::LeaseStatus StateWriter::Handle(Context& ctx,
+                                             const CommitCompleted& answer) {
   switch (answer.outcome) {
     case StoreOutcome::kDone:
       Stored(ctx, answer.revision);
-      return record_.released ? Verdict::kReleased : Verdict::kGoesOn;
+      return record_.released ? LeaseStatus::kReleased : LeaseStatus::kGoesOn;
     case StoreOutcome::kConflict: {
       for (const Row& row : answer.rows) {
         if (!(row.key == LeaderRowKey())) continue;
@@ -154,10 +154,11 @@
         // An earlier sending of this very write has come through.
         if (unsettled_ && ours) {
           Stored(ctx, row.revision);
-          return record_.released ? Verdict::kReleased : Verdict::kGoesOn;
+          return record_.released ? LeaseStatus::kReleased
+                                  : LeaseStatus::kGoesOn;
         }
       }
-      return Verdict::kDeposed;
+      return LeaseStatus::kDeposed;
     }
     case StoreOutcome::kNotApplied:
       ++refusals_;
@@ -167,7 +168,7 @@
         retry_at_ = ctx.now() + options_.retry_pause;
         PutBack();
       }
-      return Verdict::kGoesOn;
+      return LeaseStatus::kGoesOn;
     default:
       break;
   }
@@ -178,7 +179,7 @@
   unsettled_ = true;
   Resend(ctx.now());
   ++misses_;
-  return Verdict::kGoesOn;
+  return LeaseStatus::kGoesOn;
 }
 
 void StateWriter::Resend(TimePoint now) {
--- a/src/dispatch/state_writer.h
+++ b/src/dispatch/state_writer.h
@@ -67,10 +67,10 @@
   /// When `Flush` is due next without new marks.
   TimePoint next_at() const;
 
-  enum class Verdict { kGoesOn, kDeposed, kReleased };
+  enum class LeaseStatus { kGoesOn, kDeposed, kReleased };
   bool Owns(Ticket ticket) const { return in_flight_ && call_ == ticket; }
   /// Takes in the answer of the write under way.
-  Verdict Handle(Context& ctx, const CommitCompleted& answer);
+  LeaseStatus Handle(Context& ctx, const CommitCompleted& answer);
 
   /// The process stood still until `now`, and another may schedule since: the
   /// next write changes nothing but the lease.
--- a/test/state-writer-test.cc
+++ b/test/state-writer-test.cc
@@ -42,8 +42,8 @@
                            : std::get_if<CommitRows>(&effects.front());
   }
 
-  StateWriter::Verdict Answer(const CommitRows& call, StoreOutcome outcome,
-                              std::vector<Row> rows = {}) {
+  StateWriter::LeaseStatus Answer(const CommitRows& call, StoreOutcome outcome,
+                                  std::vector<Row> rows = {}) {
     CommitCompleted answer;
     answer.ticket = call.ticket;
     answer.outcome = outcome;
@@ -109,7 +109,7 @@
                again.transaction.puts.back().value.c_str());
   const auto verdict =
       Answer(again, StoreOutcome::kConflict, {LeaderRowOf(first)});
-  CHECK_TRUE(verdict == StateWriter::Verdict::kGoesOn);
+  CHECK_TRUE(verdict == StateWriter::LeaseStatus::kGoesOn);
   CHECK_TRUE(ran);
 }
 
@@ -181,7 +181,7 @@
   Row row = LeaderRowOf(call);
   row.value = EncodeLeader(other);
   CHECK_TRUE(Answer(call, StoreOutcome::kConflict, {row}) ==
-             StateWriter::Verdict::kDeposed);
+             StateWriter::LeaseStatus::kDeposed);
 }
 
 TEST(StateWriter, IdleWriterRenewsTheLease) {
