--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -339,7 +339,7 @@
   /// True if a run that was assigned since tries that.
   bool HasProbeRun() const;
   /// Runs that failed one after the other: quickly, or of different jobs.
-  int failures_in_a_row = 0;
+  int consecutive_failures = 0;
   JobId last_failed_job;
   /// When the runner leaves at the earliest, while it drains.
   TimePoint leaves_at;
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -38,7 +38,7 @@
 void Scheduler::JudgeDone(Runner* runner, const Run& run) {
   // What began before the last failure says nothing of what begins now.
   if (run.started_at < runner->failed_at) return;
-  runner->failures_in_a_row = 0;
+  runner->consecutive_failures = 0;
   runner->failed_immediately = false;
   runner->suspect_until = TimePoint();
 }
@@ -50,21 +50,21 @@
   if (at_once) {
     runner->failed_immediately = true;
     // Others that began with it tell nothing more.
-    if (ctx.now() >= runner->avoid_until) ++runner->failures_in_a_row;
+    if (ctx.now() >= runner->avoid_until) ++runner->consecutive_failures;
     Rest(ctx, runner, "a run failed as soon as it had begun");
     return;
   }
   // One job that fails again and again says nothing of the runner.
   if (runner->last_failed_job == job) return;
   runner->last_failed_job = job;
-  ++runner->failures_in_a_row;
-  if (runner->failures_in_a_row < kFailuresBeforeRest) return;
+  ++runner->consecutive_failures;
+  if (runner->consecutive_failures < kFailuresBeforeRest) return;
   Rest(ctx, runner, "failed runs of several jobs");
 }
 
 void Scheduler::Rest(Context& ctx, Runner* runner, const char* reason) {
   const int doublings = std::clamp(
-      runner->failures_in_a_row - kFailuresBeforeRest, 0, kMostDoublings);
+      runner->consecutive_failures - kFailuresBeforeRest, 0, kMostDoublings);
   const Duration pause = std::min(options_.unhealthy_backoff * (1 << doublings),
                                   options_.longest_unwell_pause);
   Avoid(ctx, runner, pause, reason);
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -360,7 +360,7 @@
   AddRun(before);
   before->newest_end = 7;
   before->delivered_acknowledgement = 7;
-  before->failures_in_a_row = 2;
+  before->consecutive_failures = 2;
   before->avoid_until = now + Duration(60000);
   before->suspect_until = now + Duration(60000);
   before->MarkLeaving(now, Duration(1000));
@@ -379,7 +379,7 @@
   CHECK_TRUE(next->waiting_starts.empty());
   LONGS_EQUAL(0, next->newest_end);
   LONGS_EQUAL(0, next->delivered_acknowledgement);
-  LONGS_EQUAL(0, next->failures_in_a_row);
+  LONGS_EQUAL(0, next->consecutive_failures);
   CHECK_TRUE(next->avoid_until <= now);
   CHECK_TRUE(next->suspect_until <= now);
   CHECK_FALSE(next->draining_since().has_value());
