--- a/src/dispatch/state_writer.cc
+++ b/src/dispatch/state_writer.cc
@@ -143,7 +143,7 @@
   switch (answer.outcome) {
     case StoreOutcome::kDone:
       Stored(ctx, answer.revision);
-      return record_.released ? LeaseStatus::kReleased : LeaseStatus::kGoesOn;
+      return record_.released ? LeaseStatus::kReleased : LeaseStatus::kHeld;
     case StoreOutcome::kConflict: {
       for (const Row& row : answer.rows) {
         if (!(row.key == LeaderRowKey())) continue;
@@ -154,8 +154,7 @@
         // An earlier sending of this very write has come through.
         if (unsettled_ && ours) {
           Stored(ctx, row.revision);
-          return record_.released ? LeaseStatus::kReleased
-                                  : LeaseStatus::kGoesOn;
+          return record_.released ? LeaseStatus::kReleased : LeaseStatus::kHeld;
         }
       }
       return LeaseStatus::kDeposed;
@@ -168,7 +167,7 @@
         retry_at_ = ctx.now() + options_.retry_pause;
         PutBack();
       }
-      return LeaseStatus::kGoesOn;
+      return LeaseStatus::kHeld;
     default:
       break;
   }
@@ -179,7 +178,7 @@
   unsettled_ = true;
   Resend(ctx.now());
   ++misses_;
-  return LeaseStatus::kGoesOn;
+  return LeaseStatus::kHeld;
 }
 
 void StateWriter::Resend(TimePoint now) {
--- a/src/dispatch/state_writer.h
+++ b/src/dispatch/state_writer.h
@@ -67,7 +67,7 @@
   /// When `Flush` is due next without new marks.
   TimePoint next_at() const;
 
-  enum class LeaseStatus { kGoesOn, kDeposed, kReleased };
+  enum class LeaseStatus { kHeld, kDeposed, kReleased };
   bool Owns(Ticket ticket) const { return in_flight_ && call_ == ticket; }
   /// Takes in the answer of the write under way.
   LeaseStatus Handle(Context& ctx, const CommitCompleted& answer);
--- a/test/state-writer-test.cc
+++ b/test/state-writer-test.cc
@@ -109,7 +109,7 @@
                again.transaction.puts.back().value.c_str());
   const auto verdict =
       Answer(again, StoreOutcome::kConflict, {LeaderRowOf(first)});
-  CHECK_TRUE(verdict == StateWriter::LeaseStatus::kGoesOn);
+  CHECK_TRUE(verdict == StateWriter::LeaseStatus::kHeld);
   CHECK_TRUE(ran);
 }
 
