--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -376,7 +376,7 @@
 bool Fleet::MayWork(const Runner& runner, TimePoint now) const {
   if (runner.ended || !runner.reachable()) return false;
   if (runner.draining_since().has_value()) return false;
-  if (now < runner.avoid_until) return false;
+  if (now < runner.backoff_until) return false;
   return runner.listed() || MayHaveLapsed(now);
 }
 
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -325,7 +325,7 @@
   /// Forgets those that are not among `there` any more.
   void RemoveOrphansExcept(const std::set<RunKey>& there);
   /// Nothing is placed here before this moment.
-  TimePoint avoid_until;
+  TimePoint backoff_until;
   /// A run failed here, and none was done since: others are used first until
   /// then.
   TimePoint suspect_until;
--- a/src/dispatch/scheduler_dump.cc
+++ b/src/dispatch/scheduler_dump.cc
@@ -41,7 +41,7 @@
   json["reachable"] = runner.reachable();
   json["draining"] = runner.draining_since().has_value();
   json["avoided_ms"] =
-      Json::Int64(std::max<std::int64_t>(0, (runner.avoid_until - now).ms()));
+      Json::Int64(std::max<std::int64_t>(0, (runner.backoff_until - now).ms()));
   json["slowness"] = runner.slowness();
   json["usual_pace"] = runner.usual_pace();
   json["free_accelerators"] = Json::Int64(runner.free_capacity().accelerators);
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -50,7 +50,7 @@
   if (at_once) {
     runner->failed_immediately = true;
     // Others that began with it tell nothing more.
-    if (ctx.now() >= runner->avoid_until) ++runner->consecutive_failures;
+    if (ctx.now() >= runner->backoff_until) ++runner->consecutive_failures;
     Rest(ctx, runner, "a run failed as soon as it had begun");
     return;
   }
@@ -72,7 +72,7 @@
 
 void Scheduler::Avoid(Context& ctx, Runner* runner, Duration pause,
                       const char* reason) {
-  runner->avoid_until = std::max(runner->avoid_until, ctx.now() + pause);
+  runner->backoff_until = std::max(runner->backoff_until, ctx.now() + pause);
   ctx.Log(LogId::kRunnerAvoidedFor, {{"runner", runner->id().value()},
                                      {"pause_ms", std::to_string(pause.ms())},
                                      {"reason", reason}});
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -361,7 +361,7 @@
   before->newest_end = 7;
   before->delivered_acknowledgement = 7;
   before->consecutive_failures = 2;
-  before->avoid_until = now + Duration(60000);
+  before->backoff_until = now + Duration(60000);
   before->suspect_until = now + Duration(60000);
   before->MarkLeaving(now, Duration(1000));
   before->ended = true;
@@ -380,7 +380,7 @@
   LONGS_EQUAL(0, next->newest_end);
   LONGS_EQUAL(0, next->delivered_acknowledgement);
   LONGS_EQUAL(0, next->consecutive_failures);
-  CHECK_TRUE(next->avoid_until <= now);
+  CHECK_TRUE(next->backoff_until <= now);
   CHECK_TRUE(next->suspect_until <= now);
   CHECK_FALSE(next->draining_since().has_value());
   CHECK_FALSE(next->ended);
