--- a/test/crash-fixture.h
+++ b/test/crash-fixture.h
@@ -14,7 +14,7 @@
 namespace limeledge::emulator {
 
 /// The crash comes as soon as the runner begins the task.
-inline constexpr Duration kAtOnce{10};
+inline constexpr Duration kCrashImmediately{10};
 /// Most starts of a task that crashes its runners: none after the third crash
 /// may be the third.
 inline constexpr int kMaxStarts = 5;
--- a/test/crash-test.cc
+++ b/test/crash-test.cc
@@ -21,7 +21,8 @@
 TEST_GROUP_BASE(Crash, CrashFixture){};
 
 TEST(Crash, TaskThatCrashesItsRunnersIsGivenUpWithinItsBudget) {
-  const JobId job = SubmitCrashing(Step(1, 1, Duration(2500)), kAtOnce);
+  const JobId job =
+      SubmitCrashing(Step(1, 1, Duration(2500)), kCrashImmediately);
   system.Run(Duration(60000));
   STRCMP_EQUAL("failed", system.StateOf(job).c_str());
   CHECK_TRUE(StartsOfFirst(job) <= kMaxStarts);
@@ -39,7 +40,7 @@
 TEST(Crash, MemberOfAGangThatCrashesItsRunnersIsGivenUpWithinItsBudget) {
   dispatch::StepSpec gang = Step(3, 4, Duration(4000));
   gang.gang = true;
-  const JobId job = SubmitCrashing(gang, kAtOnce);
+  const JobId job = SubmitCrashing(gang, kCrashImmediately);
   system.Run(Duration(60000));
   STRCMP_EQUAL("failed", system.StateOf(job).c_str());
   CHECK_TRUE(StartsOfFirst(job) <= kMaxStarts);
@@ -47,7 +48,8 @@
 }
 
 TEST(Crash, CountOfCrashesOutlivesTheSchedulersThatSawThem) {
-  const JobId job = SubmitCrashing(Step(1, 1, Duration(2500)), kAtOnce);
+  const JobId job =
+      SubmitCrashing(Step(1, 1, Duration(2500)), kCrashImmediately);
   for (int i = 0; i < 20; ++i) {
     system.Run(Duration(4500));
     if (system.leader() >= 0) system.KillNode(system.leader(), Duration(500));
@@ -67,7 +69,7 @@
   spec.steps = {Step(1, 1, Duration(2500))};
   spec.policy.priority = 1;
   TaskTruth truth;
-  truth.crashes_after = kAtOnce;
+  truth.crashes_after = kCrashImmediately;
   const JobId job = slow.Submit(spec, {truth});
   slow.Run(Duration(90000));
   STRCMP_EQUAL("failed", slow.StateOf(job).c_str());
@@ -80,7 +82,8 @@
 TEST(Crash, SuspectTaskIsTriedAloneWhereRunnersAreFree) {
   const JobId job = Submit(Step(2, 1, Duration(15000)));
   system.Run(Duration(500));
-  const JobId culprit = SubmitCrashing(Step(1, 1, Duration(2500)), kAtOnce);
+  const JobId culprit =
+      SubmitCrashing(Step(1, 1, Duration(2500)), kCrashImmediately);
   system.Run(Duration(300));
   const double lost_at_first = system.crashes().bystanders_work;
   for (int i = 0; i < 20; ++i) {
@@ -108,7 +111,7 @@
   TaskTruth sound;
   sound.work = Duration(2500);
   TaskTruth crashing = sound;
-  crashing.crashes_after = kAtOnce;
+  crashing.crashes_after = kCrashImmediately;
   const JobId culprit = small.Submit(spec, {crashing});
   const JobId other = small.Submit(spec, {sound});
   small.Run(Duration(40000));
--- a/test/innocent-test.cc
+++ b/test/innocent-test.cc
@@ -109,7 +109,8 @@
     jobs.push_back(Submit(Step(4, 1, Duration(6000))));
   }
   system.Run(Duration(500));
-  const JobId culprit = SubmitCrashing(Step(1, 1, Duration(2500)), kAtOnce);
+  const JobId culprit =
+      SubmitCrashing(Step(1, 1, Duration(2500)), kCrashImmediately);
   system.Run(Duration(60000));
   STRCMP_EQUAL("failed", system.StateOf(culprit).c_str());
   for (const JobId& job : jobs) {
