--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -86,7 +86,7 @@
   /// Has the stop sent when its turn comes, if it is due.
   void Request(TimePoint now, Duration patience);
   /// The stop waits for its turn.
-  bool wanted() const { return wanted_; }
+  bool queued() const { return wanted_; }
   /// Notes that the stop is sent.
   void Sent(TimePoint now);
   /// Notes that the stop was answered. Without an answer it is due again.
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -168,12 +168,12 @@
 
 bool Scheduler::SendNextStop(Context& ctx, Runner* runner) {
   for (auto& [name, run] : runner->runs()) {
-    if (!run.stop.wanted()) continue;
+    if (!run.stop.queued()) continue;
     SendStop(ctx, runner, name, run.number, &run.stop);
     return true;
   }
   for (auto& [run, orphans] : runner->orphans()) {
-    if (!orphans.stop.wanted()) continue;
+    if (!orphans.stop.queued()) continue;
     SendStop(ctx, runner, run.first, run.second, &orphans.stop);
     return true;
   }
