--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -33,7 +33,7 @@
   StateWriterOptions writer;
   JobRegistryOptions job_registry;
   JobCleanerOptions cleaner;
-  LossRules losses;
+  LossRules loss;
   /// Shortest time between two passes of the planner, and what is added for
   /// each hundred steps that the last one tried: some five times what such a
   /// pass takes on half a core.
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -93,7 +93,7 @@
   options.peer_address = options.instance;
   options.scheduler.planner = options_.planner;
   options.scheduler.job_registry = options_.job_registry;
-  options.scheduler.losses = options_.losses;
+  options.scheduler.loss = options_.loss;
   process.node = std::make_unique<dispatch::Node>(options);
   Reduce(node, dispatch::TimerFired());
 }
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -45,7 +45,7 @@
   /// Of the scheduler of every node.
   dispatch::PlannerOptions planner;
   dispatch::JobRegistryOptions job_registry;
-  dispatch::LossRules losses;
+  dispatch::LossRules loss;
   /// One way between any two parties.
   Duration network{1};
   Duration store_time{4};
--- a/test/crash-fuzz-test.cc
+++ b/test/crash-fuzz-test.cc
@@ -93,7 +93,7 @@
     options.seed = static_cast<std::uint64_t>(seed);
     options.runners = 4 * kRunnersInARack;
     options.runners_per_rack = kRunnersInARack;
-    dispatch::LossRules& rules = options.losses;
+    dispatch::LossRules& rules = options.loss;
     rules.suspicious_crashes =
         FromEnvironment("LIMELEDGE_SUSPICIOUS", rules.suspicious_crashes);
     rules.crashes = FromEnvironment("LIMELEDGE_CRASHES", rules.crashes);
