--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -393,7 +393,7 @@
     seat.suspect = now < runner->suspect_until;
     seat.may_fail_immediately = runner->MayFailImmediately(now);
     seat.tried = runner->HasProbeRun();
-    seat.fillers = runner->CountSharing(Sharing::kBestEffort);
+    seat.best_effort_runs = runner->CountSharing(Sharing::kBestEffort);
     seat.serving = runner->CountSharing(Sharing::kLatencySensitive);
     for (const auto& [name, run] : runner->runs()) {
       if (run.stopping) seat.releasing += run.need;
--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -166,7 +166,7 @@
   seat->tried = true;
   if (is_suspect) seat->on_probation = true;
   rack_room_[seat->rack_number] -= step.need.accelerators;
-  if (step.sharing() == Sharing::kBestEffort) ++seat->fillers;
+  if (step.sharing() == Sharing::kBestEffort) ++seat->best_effort_runs;
   if (step.sharing() == Sharing::kLatencySensitive) ++seat->serving;
 }
 
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -44,11 +44,11 @@
   std::int64_t work_at_risk = 0;
   /// Runs there that share the processors in some way, with those that this
   /// pass decided on.
-  int fillers = 0;
+  int best_effort_runs = 0;
   int serving = 0;
 
   int CountSharing(Sharing sharing) const {
-    if (sharing == Sharing::kBestEffort) return fillers;
+    if (sharing == Sharing::kBestEffort) return best_effort_runs;
     return sharing == Sharing::kLatencySensitive ? serving : 0;
   }
 };
--- a/src/dispatch/planner_preemption.cc
+++ b/src/dispatch/planner_preemption.cc
@@ -231,7 +231,7 @@
 }
 
 bool Planner::Pass::ListFillers(const Candidate& seat,
-                                std::vector<TaskName>* fillers) {
+                                std::vector<TaskName>* best_effort_runs) {
   for (const auto& [name, run] : seat.runner->runs()) {
     if (run.sharing != Sharing::kBestEffort || run.stopping) continue;
     if (displaced_.count(name) != 0) continue;
@@ -239,7 +239,7 @@
     const bool may_stop =
         job != nullptr && !job->step_spec(name.step).limits_unavailability();
     if (!may_stop) return false;
-    fillers->push_back(name);
+    best_effort_runs->push_back(name);
   }
   return true;
 }
@@ -250,8 +250,9 @@
   for (Candidate& seat : seating_.seats()) {
     if (static_cast<int>(openings.size()) == request.count) break;
     Candidate cleared = seat;
-    cleared.fillers = 0;
-    if (seat.fillers == 0 || !CandidatePool::Suits(cleared, request)) continue;
+    cleared.best_effort_runs = 0;
+    if (seat.best_effort_runs == 0 || !CandidatePool::Suits(cleared, request))
+      continue;
     Opening opening;
     opening.seat = &seat;
     if (!ListFillers(seat, &opening.victims)) continue;
