--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -394,7 +394,8 @@
     seat.may_fail_immediately = runner->MayFailImmediately(now);
     seat.tried = runner->HasProbeRun();
     seat.best_effort_runs = runner->CountSharing(Sharing::kBestEffort);
-    seat.serving = runner->CountSharing(Sharing::kLatencySensitive);
+    seat.latency_sensitive_runs =
+        runner->CountSharing(Sharing::kLatencySensitive);
     for (const auto& [name, run] : runner->runs()) {
       if (run.stopping) seat.releasing += run.need;
       if (IsOnProbation(run, options_.probation, now)) seat.on_probation = true;
--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -167,7 +167,8 @@
   if (is_suspect) seat->on_probation = true;
   rack_room_[seat->rack_number] -= step.need.accelerators;
   if (step.sharing() == Sharing::kBestEffort) ++seat->best_effort_runs;
-  if (step.sharing() == Sharing::kLatencySensitive) ++seat->serving;
+  if (step.sharing() == Sharing::kLatencySensitive)
+    ++seat->latency_sensitive_runs;
 }
 
 Candidate* CandidatePool::PlaceOne(const PlacementRequest& request) {
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -45,11 +45,11 @@
   /// Runs there that share the processors in some way, with those that this
   /// pass decided on.
   int best_effort_runs = 0;
-  int serving = 0;
+  int latency_sensitive_runs = 0;
 
   int CountSharing(Sharing sharing) const {
     if (sharing == Sharing::kBestEffort) return best_effort_runs;
-    return sharing == Sharing::kLatencySensitive ? serving : 0;
+    return sharing == Sharing::kLatencySensitive ? latency_sensitive_runs : 0;
   }
 };
 
