--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -130,7 +130,7 @@
 enum class CallResult {
   kDone,
   /// The job is not there.
-  kNotFound,
+  kUnknownJob,
   kUnknownKey,
   kUnknownQueue,
   /// The call is malformed; it changed nothing.
--- a/src/dispatch/front_end.cc
+++ b/src/dispatch/front_end.cc
@@ -46,7 +46,7 @@
   switch (result) {
     case CallResult::kDone:
       return "done";
-    case CallResult::kNotFound:
+    case CallResult::kUnknownJob:
       return "gone";
     case CallResult::kUnknownKey:
       return "unknown key";
@@ -254,7 +254,7 @@
       TakeSubmit(ctx, pending, answer);
     } else {
       // The job was cleared away meanwhile.
-      Answer(ctx, pending.call, CallResult::kNotFound);
+      Answer(ctx, pending.call, CallResult::kUnknownJob);
     }
     return;
   }
@@ -342,7 +342,7 @@
 void FrontEnd::TakeJob(Context& ctx, Pending pending,
                        const ReadCompleted& answer) {
   if (answer.rows.empty()) {
-    Answer(ctx, pending.call, CallResult::kNotFound);
+    Answer(ctx, pending.call, CallResult::kUnknownJob);
     return;
   }
   const bool cancelled = answer.rows.size() > 1;
--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -103,7 +103,7 @@
   SendCall(call, [this, job](const dispatch::RespondToCall* answer) {
     const bool acknowledged =
         answer != nullptr && (answer->result == CallResult::kDone ||
-                              answer->result == CallResult::kNotFound);
+                              answer->result == CallResult::kUnknownJob);
     if (acknowledged) {
       Trace(absl::StrCat("cancelled ", job.value()));
       oracle_.NoteCancelled(job, now_);
@@ -138,7 +138,7 @@
   SendCall(call, [&](const dispatch::RespondToCall* answer) {
     answered = true;
     if (answer == nullptr) return;
-    state = answer->result == CallResult::kNotFound ? "gone" : answer->state;
+    state = answer->result == CallResult::kUnknownJob ? "gone" : answer->state;
   });
   while (!answered) Run(Duration(50));
   return state;
