--- a/src/dispatch/front_end.cc
+++ b/src/dispatch/front_end.cc
@@ -191,8 +191,7 @@
 
 bool FrontEnd::MayResend(TimePoint now, const Pending& pending,
                          bool store_answers) const {
-  if (!store_answers && pending.misses + 1 >= kAttemptsUntilStoreUnavailable)
-    return false;
+  if (!store_answers && pending.misses + 1 >= kMaxUnanswered) return false;
   if (pending.misses + 1 >= options_.most_tries) return false;
   return pending.due - now >= options_.least_try;
 }
--- a/src/dispatch/leadership.h
+++ b/src/dispatch/leadership.h
@@ -74,9 +74,7 @@
   void Retire() { retired_ = true; }
 
   /// False if the store refused the newest call, or left several unanswered.
-  bool store_answers() const {
-    return !refused_ && misses_ < kAttemptsUntilStoreUnavailable;
-  }
+  bool store_answers() const { return !refused_ && misses_ < kMaxUnanswered; }
 
  private:
   void Observe(Context& ctx, const Row& row);
--- a/src/dispatch/state_writer.h
+++ b/src/dispatch/state_writer.h
@@ -88,7 +88,7 @@
   /// False if the store refused the newest write, or left several sendings of
   /// it unanswered.
   bool store_answers() const {
-    return refusals_ == 0 && misses_ < kAttemptsUntilStoreUnavailable;
+    return refusals_ == 0 && misses_ < kMaxUnanswered;
   }
 
  private:
--- a/src/dispatch/store_timeout.h
+++ b/src/dispatch/store_timeout.h
@@ -32,7 +32,7 @@
 
 /// The store counts as away after this many calls in a row without an answer:
 /// a single one may have been lost with its connection.
-inline constexpr int kAttemptsUntilStoreUnavailable = 2;
+inline constexpr int kMaxUnanswered = 2;
 
 /// Watches the node's calls to the store and tells how long to wait for the
 /// next one.
