--- a/test/reborn-test.cc
+++ b/test/reborn-test.cc
@@ -162,7 +162,7 @@
   spec.policy.priority = 1;
   TaskTruth truth;
   truth.work = Duration(2500);
-  truth.crashes_after = kAtOnce;
+  truth.crashes_after = kCrashImmediately;
   const JobId job = fleet.Submit(spec, {truth});
   fleet.Run(Duration(60000));
   STRCMP_EQUAL("failed", fleet.StateOf(job).c_str());
