--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -21,7 +21,7 @@
 // Steps to which `pass_interval_per_hundred` refers.
 constexpr int kHundred = 100;
 
-Scheduler::LeaseStatus VerdictOf(StateWriter::LeaseStatus verdict) {
+Scheduler::LeaseStatus ToLeaseStatus(StateWriter::LeaseStatus verdict) {
   switch (verdict) {
     case StateWriter::LeaseStatus::kDeposed:
       return Scheduler::LeaseStatus::kDeposed;
@@ -38,7 +38,7 @@
                      const Leadership::Claimed& claimed,
                      const StoreTimeout* patience, TimePoint now)
     : options_(options),
-      patience_(patience),
+      store_patience_(patience),
       writer_(options.writer, claimed, patience, now),
       book_(patience, options.job_registry),
       cleaner_(options.cleaner),
@@ -59,23 +59,23 @@
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
                                          const CommitCompleted& answer) {
   if (!cleaner_.Owns(answer.ticket)) {
-    return VerdictOf(writer_.Handle(ctx, answer));
+    return ToLeaseStatus(writer_.Handle(ctx, answer));
   }
   cleaner_.Handle(ctx, answer, &book_, &writer_);
   return LeaseStatus::kHeld;
 }
 
 void Scheduler::Handle(Context& ctx, const ReadCompleted& answer) {
-  TakeChanges(ctx, book_.Handle(ctx, answer));
+  HandleChanges(ctx, book_.Handle(ctx, answer));
 }
 
 void Scheduler::Handle(Context& ctx, const ChangesReceived& answer) {
-  TakeChanges(ctx, book_.Handle(ctx, answer));
+  HandleChanges(ctx, book_.Handle(ctx, answer));
 }
 
 void Scheduler::Handle(Context& ctx, const RunnersListed& answer) {
   fleet_.Handle(ctx, answer);
-  TakeOtherLives(ctx, answer);
+  ResolveReplacedIncarnations(ctx, answer);
   // A room may have shrunk under what waits to start there.
   for (const RunnerInfo& info : answer.runners) {
     const Runner& runner = *fleet_.runners().at(info.id);
@@ -84,21 +84,21 @@
   plan_due_ = true;
 }
 
-void Scheduler::TakeChanges(Context& ctx, const std::vector<JobId>& changed) {
+void Scheduler::HandleChanges(Context& ctx, const std::vector<JobId>& changed) {
   for (const JobId& id : changed) {
     Job* job = book_.Find(id);
     if (job == nullptr) continue;
     plan_due_ = true;
-    Inherit(ctx, job);
+    InheritRuns(ctx, job);
     // What is inherited may settle the job, which ends its object.
     job = book_.Find(id);
     if (job != nullptr) InheritLosses(ctx, *job);
     job = book_.Find(id);
-    if (job != nullptr && job->cancel_requested()) Settle(ctx, job);
+    if (job != nullptr && job->cancel_requested()) UpdateJobState(ctx, job);
   }
 }
 
-void Scheduler::Inherit(Context& ctx, Job* job) {
+void Scheduler::InheritRuns(Context& ctx, Job* job) {
   std::set<Runner*> gone;
   for (std::size_t k = 0; k < job->occurrences().size(); ++k) {
     std::vector<Step>& steps = job->occurrences()[k].steps;
@@ -133,11 +133,11 @@
   // A part of the jobs may be read after a runner was found to be gone; nobody
   // looks at it any more.
   for (Runner* runner : gone) {
-    EndAll(ctx, runner, "it was lost before its runs were read");
+    EndAllRuns(ctx, runner, "it was lost before its runs were read");
   }
 }
 
-void Scheduler::Mark(const JobId& id) {
+void Scheduler::MarkProgressChanged(const JobId& id) {
   writer_.Mark({kProgressTable, id.value()},
                [this, id]() -> std::optional<std::string> {
                  const Job* job = book_.Find(id);
@@ -150,14 +150,14 @@
   return PolicyOf(job, *catalog_).max_attempts;
 }
 
-void Scheduler::Settle(Context& ctx, Job* job) {
+void Scheduler::UpdateJobState(Context& ctx, Job* job) {
   const JobId id = job->spec().id;
   job->Settle();
-  Mark(id);
+  MarkProgressChanged(id);
   if (!IsFinal(job->state())) return;
   ctx.Log(LogId::kJobSettled,
           {{"job", id.value()}, {"state", ToString(job->state())}});
-  StopAll(ctx, id);
+  StopJob(ctx, id);
   // The job is forgotten once its final state is stored.
   writer_.Mark({kProgressTable, id.value()},
                [text = EncodeProgress(*job)] { return text; });
@@ -168,12 +168,13 @@
   book_.MarkFinal(id);
 }
 
-void Scheduler::WriteWaiting(Context& ctx) {
-  if (ctx.now() - last_waiting_ < options_.waiting_interval) return;
-  last_waiting_ = ctx.now();
+void Scheduler::WriteWaitingCounts(Context& ctx) {
+  if (ctx.now() - waiting_counts_written_at_ < options_.waiting_counts_interval)
+    return;
+  waiting_counts_written_at_ = ctx.now();
   std::string text = EncodeWaiting(book_.CountWaiting());
-  if (text == written_waiting_) return;
-  written_waiting_ = text;
+  if (text == written_waiting_counts_) return;
+  written_waiting_counts_ = text;
   writer_.Mark({kLeadershipTable, kWaitingKey},
                [text = std::move(text)] { return text; });
 }
@@ -183,7 +184,7 @@
   plan_due_ = true;
 }
 
-void Scheduler::Apply(Context& ctx, const Plan& plan) {
+void Scheduler::ApplyPlan(Context& ctx, const Plan& plan) {
   for (const StepWait& wait : plan.waits) {
     ctx.Log(LogId::kStepWaits, {{"job", wait.step.job.value()},
                                 {"step", ToString(wait.step)},
@@ -194,21 +195,21 @@
     advice_.RequestTickets(ctx, wish.step, wish.runners);
   }
   for (const Preemption& displaced : plan.preemptions) {
-    Displace(ctx, displaced);
+    Preempt(ctx, displaced);
   }
   for (const Assignment& assignment : plan.assignments) {
     Assign(ctx, assignment);
   }
 }
 
-void Scheduler::Displace(Context& ctx, const Preemption& displaced) {
+void Scheduler::Preempt(Context& ctx, const Preemption& displaced) {
   Runner* runner = fleet_.Find(displaced.incarnation);
   if (runner == nullptr) return;
   ctx.Log(LogId::kRunDisplaced,
           {{"task", ToString(displaced.task)},
            {"runner", displaced.incarnation.runner.value()},
            {"for", displaced.preemptor.value()}});
-  AskStop(ctx, runner, displaced.task);
+  RequestStop(ctx, runner, displaced.task);
   StopGang(ctx, displaced.task);
 }
 
@@ -238,7 +239,7 @@
            {"near_ms", near_ms},
            {"accelerators", std::to_string(run.need.accelerators)},
            {"cpu_millis", std::to_string(run.need.cpu_millis)}});
-  Mark(name.job);
+  MarkProgressChanged(name.job);
   writer_.RunWhenStored(
       {kProgressTable, name.job.value()},
       [this, name, number = run.number, incarnation](Context&) {
@@ -246,37 +247,38 @@
       });
 }
 
-void Scheduler::CheckWhenDue(Context& ctx) {
-  if (ctx.now() < next_check_) return;
-  next_check_ = ctx.now() + kCheckInterval;
+void Scheduler::RunPeriodicChecks(Context& ctx) {
+  if (ctx.now() < next_check_at_) return;
+  next_check_at_ = ctx.now() + kCheckInterval;
   CheckRuns(ctx);
-  SettleOverdue(ctx);
+  ResolveOverdueLosses(ctx);
   fleet_.RemoveGone(ctx);
   if (!releasing_) cleaner_.Work(ctx, &book_, &writer_);
 }
 
 bool Scheduler::IsPassDue(TimePoint now) const {
   if (!book_.loaded() || releasing_ || !writer_.store_answers()) return false;
-  if (now < next_pass_) return false;
+  if (now < next_pass_at_) return false;
   return plan_due_ || now >= planner_.next_at() ||
-         now - last_pass_ >= options_.longest_pass_interval;
+         now - last_pass_at_ >= options_.max_pass_interval;
 }
 
-void Scheduler::MakePass(Context& ctx) {
+void Scheduler::RunPlanningPass(Context& ctx) {
   plan_due_ = false;
-  last_pass_ = ctx.now();
+  last_pass_at_ = ctx.now();
   const Plan plan = planner_.Decide(ctx.now(), ctx.wall_ms(), *catalog_, times_,
                                     advice_, &book_, &fleet_);
-  next_pass_ = ctx.now() + options_.pass_interval +
-               options_.pass_interval_per_hundred * plan.steps_tried / kHundred;
-  Apply(ctx, plan);
-  TellIdleRoom(ctx, plan);
-  WriteWaiting(ctx);
+  next_pass_at_ =
+      ctx.now() + options_.min_pass_interval +
+      options_.pass_interval_per_hundred_steps * plan.steps_tried / kHundred;
+  ApplyPlan(ctx, plan);
+  LogIdleAccelerators(ctx, plan);
+  WriteWaitingCounts(ctx);
 }
 
-void Scheduler::TellIdleRoom(Context& ctx, const Plan& plan) {
-  if (plan.steps_waiting == 0 || ctx.now() < next_idle_room_) return;
-  next_idle_room_ = ctx.now() + options_.idle_room_interval;
+void Scheduler::LogIdleAccelerators(Context& ctx, const Plan& plan) {
+  if (plan.steps_waiting == 0 || ctx.now() < next_idle_accelerators_at_) return;
+  next_idle_accelerators_at_ = ctx.now() + options_.idle_accelerators_interval;
   const IdleAccelerators& room = plan.idle_accelerators;
   ctx.Log(LogId::kIdleRoom,
           {{"steps", std::to_string(plan.steps_waiting)},
@@ -300,13 +302,13 @@
     writer_.Flush(ctx);
     return;
   }
-  fleet_.List(ctx, *patience_);
+  fleet_.List(ctx, *store_patience_);
   // What was running where is only judged with the list of runners at hand.
   if (fleet_.listed_once()) book_.Work(ctx);
   const bool may_renew =
       ctx.now() - writer_.confirmed_at() < options_.fleet.longest_unconfirmed;
-  CheckWhenDue(ctx);
-  if (IsPassDue(ctx.now())) MakePass(ctx);
+  RunPeriodicChecks(ctx);
+  if (IsPassDue(ctx.now())) RunPlanningPass(ctx);
   SendOrders(ctx);
   // The runners are only known by what is assigned to them once all is read.
   if (book_.loaded()) {
@@ -317,14 +319,14 @@
 
 TimePoint Scheduler::next_at() const {
   if (!writer_.MayAct()) return writer_.next_at();
-  TimePoint next = std::min(writer_.next_at(), next_check_);
+  TimePoint next = std::min(writer_.next_at(), next_check_at_);
   next =
       std::min(next, book_.loaded() ? fleet_.next_at() : fleet_.next_list_at());
   if (fleet_.listed_once()) next = std::min(next, book_.next_at());
   // A pass that can not be made now is made when the store answers.
   if (!book_.loaded() || releasing_ || !writer_.store_answers()) return next;
-  if (plan_due_) next = std::min(next, next_pass_);
-  return std::min(next, std::max(next_pass_, planner_.next_at()));
+  if (plan_due_) next = std::min(next, next_pass_at_);
+  return std::min(next, std::max(next_pass_at_, planner_.next_at()));
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -37,26 +37,26 @@
   /// Shortest time between two passes of the planner, and what is added for
   /// each hundred steps that the last one tried: some five times what such a
   /// pass takes on half a core.
-  Duration pass_interval{20};
-  Duration pass_interval_per_hundred{80};
+  Duration min_pass_interval{20};
+  Duration pass_interval_per_hundred_steps{80};
   /// Longest time between two passes while tasks wait.
-  Duration longest_pass_interval{250};
+  Duration max_pass_interval{250};
   /// A runner that rejected a start for want of room is asked anew first.
-  Duration no_room_pause{400};
+  Duration no_capacity_backoff{400};
   /// Rest of a runner that is not well, or failed runs of two jobs in a row;
   /// doubles with each further failure up to the second.
   Duration unhealthy_backoff{2000};
-  Duration longest_unwell_pause{16000};
+  Duration max_unhealthy_backoff{16000};
   /// A stop that showed no effect is sent again after this; longer than a
   /// runner takes to stop.
-  Duration stop_patience{1500};
+  Duration stop_retry_interval{1500};
   /// An order without an answer may be carried out for so long, whatever end
   /// of the lease it names: twelve seconds at most, and some for the clocks.
-  Duration late_order{12500};
+  Duration late_order_window{12500};
   /// A run that fails within this, or within such a part of its time, tells of
   /// its runner: jobs that can not be done fail at any time of their run,
   /// broken runners at once.
-  Duration quick_failure{400};
+  Duration early_failure_limit{400};
   int early_failure_percent = 5;
   /// Others are used first for so long after a run failed on a runner: longer
   /// than runners that fail all they start usually do so.
@@ -69,7 +69,7 @@
   /// Rest of a runner on which a run stands still.
   Duration stall_backoff{4000};
   /// Progress over at least this time tells a run's pace.
-  Duration pace_interval{600};
+  Duration min_pace_interval{600};
   /// A run that is this much slower than expected, on a runner that counts as
   /// slow, is moved if it would go on for this many times its whole expected
   /// time, and a stop more.
@@ -84,36 +84,36 @@
   /// A run's length is learnt once it has done this much, in percent.
   int min_learn_percent = 20;
   /// Shortest time between two writes of the numbers of waiting jobs.
-  Duration waiting_interval{300};
+  Duration waiting_counts_interval{300};
   /// How often idle accelerators are told of while steps wait: a line a second
   /// tells for whom they were idle, and costs little.
-  Duration idle_room_interval{1000};
+  Duration idle_accelerators_interval{1000};
 };
 
 /// Why a start that waited for its turn is not sent.
-enum class StartObstacle {
-  kJobOver,
+enum class StartDropReason {
+  kJobFinished,
   /// Another member of its gang ended, or was assigned anew.
-  kGangOver,
+  kGangEnded,
   kStopping,
   kReleasing,
-  kRunnerLeaves,
-  kHallEmptied,
-  kRunnerSilent,
-  kNoTicket,
+  kRunnerDraining,
+  kHallDraining,
+  kRunnerUnreachable,
+  kTicketExpired,
   /// It became known meanwhile that its runners crash.
   kTaskCrashesRunners,
   /// The room shrank meanwhile.
   kNoCapacity,
   /// The runner would not refuse what is too much for it, and its room was not
   /// confirmed lately.
-  kRoomUnconfirmed,
+  kCapacityUnconfirmed,
   /// Its lease has to run out first.
-  kLeaseRunsOut,
+  kAwaitingLeaseExpiry,
 };
 
 /// How a runner ended under the runs that went with it.
-enum class RunnerEnd {
+enum class RunnerLossCause {
   /// Another life answers at its address, and it had not said that it leaves.
   kCrashed,
   /// It was known to leave.
@@ -122,15 +122,15 @@
   kUnknown,
 };
 
-const char* ToString(RunnerEnd end);
+const char* ToString(RunnerLossCause end);
 
 /// What is known of a runner that is lost, for all runs that went with it.
 struct RunnerLoss {
-  RunnerEnd how = RunnerEnd::kUnknown;
+  RunnerLossCause how = RunnerLossCause::kUnknown;
   /// When it fell silent; when it was taken for lost, if it was not seen to.
   TimePoint silent_since;
   /// Others fell silent with it for which no start can be to blame.
-  bool with_others = false;
+  bool correlated = false;
 };
 
 /// Schedules while this node holds the lease.
@@ -174,23 +174,23 @@
 
  private:
   // Jobs.
-  void TakeChanges(Context& ctx, const std::vector<JobId>& changed);
-  void Inherit(Context& ctx, Job* job);
-  void Settle(Context& ctx, Job* job);
-  void Mark(const JobId& id);
+  void HandleChanges(Context& ctx, const std::vector<JobId>& changed);
+  void InheritRuns(Context& ctx, Job* job);
+  void UpdateJobState(Context& ctx, Job* job);
+  void MarkProgressChanged(const JobId& id);
   int MaxAttempts(const Job& job) const;
-  void WriteWaiting(Context& ctx);
+  void WriteWaitingCounts(Context& ctx);
 
   // Runs.
   /// True if a planning pass is due and can be made now.
   bool IsPassDue(TimePoint now) const;
   /// Plans, and applies what was decided.
-  void MakePass(Context& ctx);
-  void Apply(Context& ctx, const Plan& plan);
+  void RunPlanningPass(Context& ctx);
+  void ApplyPlan(Context& ctx, const Plan& plan);
   /// Logs what is idle while steps wait, and for whom.
-  void TellIdleRoom(Context& ctx, const Plan& plan);
+  void LogIdleAccelerators(Context& ctx, const Plan& plan);
   /// Stops a run, with its gang, in favour of an urgent job.
-  void Displace(Context& ctx, const Preemption& displaced);
+  void Preempt(Context& ctx, const Preemption& displaced);
   /// Takes an assignment in; the start is sent once it is stored.
   void Assign(Context& ctx, const Assignment& assignment);
   /// Lets a stored run's start wait for its turn.
@@ -203,15 +203,17 @@
   /// again does so within the second after which it counts as lost.
   void SendNextOrder(Context& ctx, Runner* runner);
   /// Gives up waiting starts that must not be sent any more; true if any was.
-  bool GiveUpStarts(Context& ctx, Runner* runner);
+  bool DropStaleStarts(Context& ctx, Runner* runner);
   /// What is against starting the run now; nothing if it may start.
-  std::optional<StartObstacle> ObstacleTo(TimePoint now, const Runner& runner,
-                                          const TaskName& name, const Run& run);
+  std::optional<StartDropReason> FindDropReason(TimePoint now,
+                                                const Runner& runner,
+                                                const TaskName& name,
+                                                const Run& run);
   std::string TicketOf(TimePoint now, const Runner& runner,
                        const TaskName& name) const;
   /// Ends a run whose start was never sent, with its gang.
-  void GiveUpStart(Context& ctx, Runner* runner, const TaskName& name,
-                   StartObstacle obstacle);
+  void DropStart(Context& ctx, Runner* runner, const TaskName& name,
+                 StartDropReason obstacle);
   /// Sends a stop that waits; false if there is none.
   bool SendNextStop(Context& ctx, Runner* runner);
   /// Precondition: nothing is against starting the run now.
@@ -224,28 +226,28 @@
   void NoteLateStart(TimePoint now, Runner* runner,
                      const StartRunCompleted& answer, const Run& run);
   /// A start that was refused, or whose outcome is not known.
-  void TakeFailedStart(Context& ctx, Runner* runner,
-                       const StartRunCompleted& answer, Run* run);
+  void HandleFailedStart(Context& ctx, Runner* runner,
+                         const StartRunCompleted& answer, Run* run);
   /// Has a run end: it is stopped, or dropped if its start was never sent.
-  void AskStop(Context& ctx, Runner* runner, const TaskName& name);
-  void StopAll(Context& ctx, const JobId& job);
+  void RequestStop(Context& ctx, Runner* runner, const TaskName& name);
+  void StopJob(Context& ctx, const JobId& job);
   /// Stops the other members of a gang's run.
   void StopGang(Context& ctx, const TaskName& name);
   void EndRun(Context& ctx, Runner* runner, const TaskName& name, RunEnd end,
               const std::string& checkpoint);
   /// Logs and counts a run that went with its runner.
-  void NoteLost(Context& ctx, const Runner& runner, const TaskName& name,
-                const RunnerLoss& loss);
+  void RecordLostRun(Context& ctx, const Runner& runner, const TaskName& name,
+                     const RunnerLoss& loss);
 
   // Losses: runs that went with their runners (scheduler_losses.cc).
   /// Notes that the runner is lost, and takes all of `names` for lost with it.
   /// Those of `held` count as lost, and are ended later.
-  void LoseRuns(Context& ctx, Runner* runner,
-                const std::vector<TaskName>& names, RunnerEnd how,
-                const std::vector<TaskName>& held = {});
+  void MarkRunsLost(Context& ctx, Runner* runner,
+                    const std::vector<TaskName>& names, RunnerLossCause how,
+                    const std::vector<TaskName>& held = {});
   /// True if the runner fell silent together with others for which no start can
   /// be to blame.
-  bool WentWithOthers(const Runner& runner) const;
+  bool IsCorrelatedLoss(const Runner& runner) const;
   /// Counts a lost run against its task, unless nothing can be held against it.
   void CountLoss(Context& ctx, const Runner& runner, const TaskName& name,
                  const Run& run, const RunnerLoss& loss);
@@ -253,118 +255,123 @@
   void ResolveLosses(Context& ctx, const IncarnationId& incarnation,
                      IncarnationFate fate);
   /// Settles the losses of runners whose addresses others have taken.
-  void TakeOtherLives(Context& ctx, const RunnersListed& answer);
+  void ResolveReplacedIncarnations(Context& ctx, const RunnersListed& answer);
   /// Settles what was in doubt for too long.
-  void SettleOverdue(Context& ctx);
+  void ResolveOverdueLosses(Context& ctx);
   /// Takes in what the task's losses say about its next start.
-  void JudgeTask(Context& ctx, const TaskName& name);
+  void ApplyLossPolicy(Context& ctx, const TaskName& name);
   /// Notes losses that an earlier scheduler stored.
   void InheritLosses(Context& ctx, const Job& job);
   /// Notes that this life of the runner answers.
-  void HandleAnswer(Context& ctx, Runner* runner, std::int64_t clock_ms);
+  void RecordContact(Context& ctx, Runner* runner, std::int64_t clock_ms);
   /// The same for an order's answer, which does not tell the life that gave it.
-  void NoteOrderHeard(Context& ctx, Runner* runner, std::int64_t clock_ms);
+  void RecordOrderContact(Context& ctx, Runner* runner, std::int64_t clock_ms);
   /// The birth that the entry of a life's runner tells now.
   StartTime ListedBirth(const IncarnationId& incarnation) const;
 
   // Lives (scheduler_lives.cc).
   /// What a run of the life before is to the next one.
-  enum class NextLifeRole {
-    kNeverWas,
+  enum class CarriedRunStatus {
+    kNeverStarted,
     /// The next life lists it, or may.
-    kIsThere,
+    kMayExist,
     /// It went with the life before.
     kLost,
     /// The same, and a start of it got no answer: the next life may still carry
     /// that out.
-    kLostAndMayCome,
+    kLostButMayStart,
   };
-  static NextLifeRole RoleOf(TimePoint now, const Runner& before,
-                             const TaskName& name, const Run& run,
-                             const RunnerPolled& answer);
+  static CarriedRunStatus ClassifyRun(TimePoint now, const Runner& before,
+                                      const TaskName& name, const Run& run,
+                                      const RunnerPolled& answer);
   /// Another life of the runner answered: ends the one before, which must not
   /// be used any more, and returns the next.
-  Runner* StartIncarnation(Context& ctx, Runner* before,
+  Runner* BeginIncarnation(Context& ctx, Runner* before,
                            const RunnerPolled& answer);
   /// Puts the next life in its place, with the runs that it may hold.
-  Runner* CarryOver(Context& ctx, Runner* before,
-                    const std::vector<TaskName>& moved,
-                    const std::vector<TaskName>& to_bar,
-                    const RunnerPolled& answer);
+  Runner* CarryOverRuns(Context& ctx, Runner* before,
+                        const std::vector<TaskName>& moved,
+                        const std::vector<TaskName>& to_bar,
+                        const RunnerPolled& answer);
   /// Ends the object of the life before; returns that of the next, which no run
   /// is on yet.
-  Runner* PutNextLife(TimePoint now, Runner* before, StartTime start_time);
+  Runner* ReplaceIncarnation(TimePoint now, Runner* before,
+                             StartTime start_time);
   /// `lost`: the run went with the life before, and is only to be ruled out.
-  void AddCarried(Context& ctx, Runner* next, const TaskName& name, Run run,
-                  bool lost);
+  void AddCarriedRun(Context& ctx, Runner* next, const TaskName& name, Run run,
+                     bool lost);
   /// Has the next life told not to begin what may come late.
-  void BarLateStarts(Context& ctx, Runner* next);
+  void CancelLateStarts(Context& ctx, Runner* next);
 
   /// All that ran on a silent runner is over, but for starts that may still
   /// be carried out there.
-  void EndLapsed(Context& ctx, Runner* runner);
+  void EndExpiredRuns(Context& ctx, Runner* runner);
   /// All that ran on the runner is over.
-  void EndAll(Context& ctx, Runner* runner, const char* reason);
+  void EndAllRuns(Context& ctx, Runner* runner, const char* reason);
 
   // Runners.
   /// Takes ends in up to the first of a job that is not known yet; the runner
   /// lists the others again. Returns true if all were taken in.
-  bool TakeEnds(Context& ctx, Runner* runner,
-                const std::vector<ReportedEnd>& ends);
-  void TakeEnd(Context& ctx, Runner* runner, const ReportedEnd& end);
+  bool HandleEnds(Context& ctx, Runner* runner,
+                  const std::vector<ReportedEnd>& ends);
+  void HandleEnd(Context& ctx, Runner* runner, const ReportedEnd& end);
   /// True if the end of a run that nobody waits for must not be told as known
   /// yet: the platform would hold it against the runs that its task had since.
   /// `presumed_over`: the run was taken for over without an end.
-  bool MustNotBeNoted(const Runner& runner, const ReportedEnd& end,
-                      bool presumed_over);
+  bool MustDeferAcknowledgment(const Runner& runner, const ReportedEnd& end,
+                               bool presumed_over);
   /// Takes in an end of a run that nobody waited for any more.
-  void TakeLateEnd(Context& ctx, const Runner& runner, const ReportedEnd& end);
-  void TakeRunning(Context& ctx, Runner* runner, const ReportedRun& listed);
+  void HandleLateEnd(Context& ctx, const Runner& runner,
+                     const ReportedEnd& end);
+  void HandleRunningRun(Context& ctx, Runner* runner,
+                        const ReportedRun& listed);
   /// What a run that nobody waits for takes, as far as that is known.
-  Resources NeedOfUnwanted(const Runner& runner, const TaskName& name);
+  Resources NeedOfUnwantedRun(const Runner& runner, const TaskName& name);
   /// True if the runner refuses by itself what is too much for it.
-  bool GuardsRoom(const Runner& runner) const;
+  bool EnforcesCapacity(const Runner& runner) const;
   /// Forgets the stops of unwanted runs that are not there any more.
-  static void ForgetUnwanted(Runner* runner,
-                             const std::vector<ReportedRun>& running);
+  static void ForgetUnwantedRuns(Runner* runner,
+                                 const std::vector<ReportedRun>& running);
   /// Measures a run's pace by its progress, and learns from it.
   void MeasurePace(Context& ctx, Runner* runner, Job* job, const TaskName& name,
                    Run* run);
   /// Compares a run's `length`, in milliseconds, with those of its step's runs
   /// elsewhere and with what was expected.
-  void JudgePace(Context& ctx, Runner* runner, Job* job, const TaskName& name,
-                 const Run& run, double length);
+  void EvaluatePace(Context& ctx, Runner* runner, Job* job,
+                    const TaskName& name, const Run& run, double length);
   /// Learns a run's length once enough of it is done: one of each step.
-  void LearnLength(Context& ctx, Job* job, const TaskName& name, Run* run);
+  void LearnRunTime(Context& ctx, Job* job, const TaskName& name, Run* run);
   /// Moves a run off a runner that turned slow, if that gains time.
-  void MoveFromSlow(Context& ctx, Runner* runner, const TaskName& name,
-                    const Run& run, Duration left, Duration expected);
-  void TakeAbsent(Context& ctx, Runner* runner, const RunnerPolled& answer);
+  void MoveOffSlowRunner(Context& ctx, Runner* runner, const TaskName& name,
+                         const Run& run, Duration left, Duration expected);
+  void HandleUnlistedRuns(Context& ctx, Runner* runner,
+                          const RunnerPolled& answer);
   /// Ends a run that its runner neither runs nor ended.
-  void EndUnlisted(Context& ctx, Runner* runner, const TaskName& name);
+  void EndUnlistedRun(Context& ctx, Runner* runner, const TaskName& name);
   /// Takes in what a run's end tells of its runner.
-  void Judge(Context& ctx, Runner* runner, const ReportedEnd& end,
-             const Run& run);
+  void UpdateRunnerHealth(Context& ctx, Runner* runner, const ReportedEnd& end,
+                          const Run& run);
   /// Takes in a run that is done.
-  void JudgeDone(Runner* runner, const Run& run);
+  void RecordSuccess(Runner* runner, const Run& run);
   /// Takes in a run of `job` that failed, perhaps as soon as it had begun.
-  void JudgeFailed(Context& ctx, Runner* runner, const JobId& job,
-                   bool at_once);
+  void RecordFailure(Context& ctx, Runner* runner, const JobId& job,
+                     bool at_once);
   /// Rests a runner for its failures in a row.
-  void Rest(Context& ctx, Runner* runner, const char* reason);
-  void Avoid(Context& ctx, Runner* runner, Duration pause, const char* reason);
-  void MissAnswer(Context& ctx, Runner* runner);
+  void BackOffAfterFailures(Context& ctx, Runner* runner, const char* reason);
+  void BackOff(Context& ctx, Runner* runner, Duration pause,
+               const char* reason);
+  void HandleMissedAnswer(Context& ctx, Runner* runner);
   /// The same for a look, which may be carried out late.
-  void MissPoll(Context& ctx, Runner* runner, OrderOutcome outcome);
+  void HandleMissedPoll(Context& ctx, Runner* runner, OrderOutcome outcome);
   /// Checks runs and removes what is over, every `kCheckInterval`.
-  void CheckWhenDue(Context& ctx);
+  void RunPeriodicChecks(Context& ctx);
   void CheckRuns(Context& ctx);
   void CheckStall(Context& ctx, Runner* runner, const TaskName& name, Run* run);
-  void CheckLeaving(Context& ctx, Runner* runner, const TaskName& name,
-                    const Run& run);
+  void CheckDraining(Context& ctx, Runner* runner, const TaskName& name,
+                     const Run& run);
 
   SchedulerOptions options_;
-  const StoreTimeout* patience_;
+  const StoreTimeout* store_patience_;
   StateWriter writer_;
   JobRegistry book_;
   JobCleaner cleaner_;
@@ -379,13 +386,13 @@
   std::set<RunnerId> orders_due_;
   bool plan_due_ = true;
   bool releasing_ = false;
-  TimePoint last_pass_;
+  TimePoint last_pass_at_;
   /// The next pass is not made sooner.
-  TimePoint next_pass_;
-  TimePoint last_waiting_;
-  TimePoint next_check_;
-  TimePoint next_idle_room_;
-  std::string written_waiting_;
+  TimePoint next_pass_at_;
+  TimePoint waiting_counts_written_at_;
+  TimePoint next_check_at_;
+  TimePoint next_idle_accelerators_at_;
+  std::string written_waiting_counts_;
 };
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -13,29 +13,29 @@
 
 namespace {
 
-constexpr int kFailuresBeforeRest = 2;
-constexpr int kMostDoublings = 4;
+constexpr int kFailuresBeforeBackoff = 2;
+constexpr int kMaxDoublings = 4;
 constexpr int kHundred = 100;
 
 }  // namespace
 
-void Scheduler::Judge(Context& ctx, Runner* runner, const ReportedEnd& end,
-                      const Run& run) {
+void Scheduler::UpdateRunnerHealth(Context& ctx, Runner* runner,
+                                   const ReportedEnd& end, const Run& run) {
   const Duration lasted = ctx.now() - run.started_at;
   const Duration quick =
-      std::max(options_.quick_failure,
+      std::max(options_.early_failure_limit,
                run.expected * options_.early_failure_percent / kHundred);
   if (end.end == RunEnd::kDone) {
-    JudgeDone(runner, run);
+    RecordSuccess(runner, run);
   } else if (end.end == RunEnd::kFailed) {
     // The end may be listed before the start's own answer comes.
     const bool at_once = run.phase == RunPhase::kStarting ||
                          (run.phase == RunPhase::kRunning && lasted < quick);
-    JudgeFailed(ctx, runner, end.task.job, at_once);
+    RecordFailure(ctx, runner, end.task.job, at_once);
   }
 }
 
-void Scheduler::JudgeDone(Runner* runner, const Run& run) {
+void Scheduler::RecordSuccess(Runner* runner, const Run& run) {
   // What began before the last failure says nothing of what begins now.
   if (run.started_at < runner->failed_at) return;
   runner->consecutive_failures = 0;
@@ -43,49 +43,51 @@
   runner->suspect_until = TimePoint();
 }
 
-void Scheduler::JudgeFailed(Context& ctx, Runner* runner, const JobId& job,
-                            bool at_once) {
+void Scheduler::RecordFailure(Context& ctx, Runner* runner, const JobId& job,
+                              bool at_once) {
   runner->suspect_until = ctx.now() + options_.failure_penalty;
   runner->failed_at = ctx.now();
   if (at_once) {
     runner->failed_immediately = true;
     // Others that began with it tell nothing more.
     if (ctx.now() >= runner->backoff_until) ++runner->consecutive_failures;
-    Rest(ctx, runner, "a run failed as soon as it had begun");
+    BackOffAfterFailures(ctx, runner, "a run failed as soon as it had begun");
     return;
   }
   // One job that fails again and again says nothing of the runner.
   if (runner->last_failed_job == job) return;
   runner->last_failed_job = job;
   ++runner->consecutive_failures;
-  if (runner->consecutive_failures < kFailuresBeforeRest) return;
-  Rest(ctx, runner, "failed runs of several jobs");
+  if (runner->consecutive_failures < kFailuresBeforeBackoff) return;
+  BackOffAfterFailures(ctx, runner, "failed runs of several jobs");
 }
 
-void Scheduler::Rest(Context& ctx, Runner* runner, const char* reason) {
+void Scheduler::BackOffAfterFailures(Context& ctx, Runner* runner,
+                                     const char* reason) {
   const int doublings = std::clamp(
-      runner->consecutive_failures - kFailuresBeforeRest, 0, kMostDoublings);
+      runner->consecutive_failures - kFailuresBeforeBackoff, 0, kMaxDoublings);
   const Duration pause = std::min(options_.unhealthy_backoff * (1 << doublings),
-                                  options_.longest_unwell_pause);
-  Avoid(ctx, runner, pause, reason);
+                                  options_.max_unhealthy_backoff);
+  BackOff(ctx, runner, pause, reason);
 }
 
-void Scheduler::Avoid(Context& ctx, Runner* runner, Duration pause,
-                      const char* reason) {
+void Scheduler::BackOff(Context& ctx, Runner* runner, Duration pause,
+                        const char* reason) {
   runner->backoff_until = std::max(runner->backoff_until, ctx.now() + pause);
   ctx.Log(LogId::kRunnerAvoidedFor, {{"runner", runner->id().value()},
                                      {"pause_ms", std::to_string(pause.ms())},
                                      {"reason", reason}});
 }
 
-void Scheduler::MissPoll(Context& ctx, Runner* runner, OrderOutcome outcome) {
+void Scheduler::HandleMissedPoll(Context& ctx, Runner* runner,
+                                 OrderOutcome outcome) {
   if (outcome == OrderOutcome::kLost && runner->poll_grants_lease) {
-    runner->late_orders.RecordGrant(ctx.now() + options_.late_order);
+    runner->late_orders.RecordGrant(ctx.now() + options_.late_order_window);
   }
-  MissAnswer(ctx, runner);
+  HandleMissedAnswer(ctx, runner);
 }
 
-void Scheduler::MissAnswer(Context& ctx, Runner* runner) {
+void Scheduler::HandleMissedAnswer(Context& ctx, Runner* runner) {
   if (runner->reachable()) {
     ctx.Log(LogId::kRunnerSilent, {{"runner", runner->id().value()}});
   }
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -22,7 +22,7 @@
 
 namespace {
 
-bool Names(const RunnerPolled& answer, const TaskName& name, int number) {
+bool Lists(const RunnerPolled& answer, const TaskName& name, int number) {
   const auto is_it = [&](const auto& listed) {
     return listed.task == name && listed.run == number;
   };
@@ -32,21 +32,24 @@
 
 }  // namespace
 
-Scheduler::NextLifeRole Scheduler::RoleOf(TimePoint now, const Runner& before,
-                                          const TaskName& name, const Run& run,
-                                          const RunnerPolled& answer) {
-  if (NeverBegan(run.phase)) return NextLifeRole::kNeverWas;
-  if (Names(answer, name, run.number)) return NextLifeRole::kIsThere;
+Scheduler::CarriedRunStatus Scheduler::ClassifyRun(TimePoint now,
+                                                   const Runner& before,
+                                                   const TaskName& name,
+                                                   const Run& run,
+                                                   const RunnerPolled& answer) {
+  if (NeverBegan(run.phase)) return CarriedRunStatus::kNeverStarted;
+  if (Lists(answer, name, run.number)) return CarriedRunStatus::kMayExist;
   // Judged by the life that it was stored for.
-  if (run.phase == RunPhase::kInherited) return NextLifeRole::kIsThere;
+  if (run.phase == RunPhase::kInherited) return CarriedRunStatus::kMayExist;
   // A start without an answer may be what the life before went by.
   const bool may_start_late =
       run.phase == RunPhase::kStarting ||
       before.late_orders.MayArrive({name, run.number}, now);
-  return may_start_late ? NextLifeRole::kLostAndMayCome : NextLifeRole::kLost;
+  return may_start_late ? CarriedRunStatus::kLostButMayStart
+                        : CarriedRunStatus::kLost;
 }
 
-Runner* Scheduler::StartIncarnation(Context& ctx, Runner* before,
+Runner* Scheduler::BeginIncarnation(Context& ctx, Runner* before,
                                     const RunnerPolled& answer) {
   const IncarnationId old_life = before->incarnation();
   std::vector<TaskName> never;
@@ -54,18 +57,18 @@
   std::vector<TaskName> moved;
   std::vector<TaskName> to_bar;
   for (const auto& [name, run] : before->runs()) {
-    switch (RoleOf(ctx.now(), *before, name, run, answer)) {
-      case NextLifeRole::kNeverWas:
+    switch (ClassifyRun(ctx.now(), *before, name, run, answer)) {
+      case CarriedRunStatus::kNeverStarted:
         never.push_back(name);
         break;
-      case NextLifeRole::kLost:
+      case CarriedRunStatus::kLost:
         lost.push_back(name);
         break;
-      case NextLifeRole::kLostAndMayCome:
+      case CarriedRunStatus::kLostButMayStart:
         lost.push_back(name);
         to_bar.push_back(name);
         break;
-      case NextLifeRole::kIsThere:
+      case CarriedRunStatus::kMayExist:
         moved.push_back(name);
         break;
     }
@@ -78,23 +81,24 @@
            {"lost", std::to_string(lost.size())},
            {"kept", std::to_string(moved.size())},
            {"to_be_ruled_out", std::to_string(to_bar.size())}});
-  const RunnerEnd how =
-      before->LeftAsAnnounced() ? RunnerEnd::kLeft : RunnerEnd::kCrashed;
-  LoseRuns(ctx, before, lost, how, to_bar);
+  const RunnerLossCause how = before->LeftAsAnnounced()
+                                  ? RunnerLossCause::kLeft
+                                  : RunnerLossCause::kCrashed;
+  MarkRunsLost(ctx, before, lost, how, to_bar);
   for (const TaskName& name : never) {
     EndRun(ctx, before, name, RunEnd::kRejected, "");
     StopGang(ctx, name);
   }
   ResolveLosses(ctx, old_life, IncarnationFate::kCrashed);
-  Runner* next = CarryOver(ctx, before, moved, to_bar, answer);
+  Runner* next = CarryOverRuns(ctx, before, moved, to_bar, answer);
   plan_due_ = true;
   return next;
 }
 
-Runner* Scheduler::CarryOver(Context& ctx, Runner* before,
-                             const std::vector<TaskName>& moved,
-                             const std::vector<TaskName>& to_bar,
-                             const RunnerPolled& answer) {
+Runner* Scheduler::CarryOverRuns(Context& ctx, Runner* before,
+                                 const std::vector<TaskName>& moved,
+                                 const std::vector<TaskName>& to_bar,
+                                 const RunnerPolled& answer) {
   // Ending runs may have ended members of their gangs here.
   const auto those_there = [before](const std::vector<TaskName>& names) {
     std::vector<std::pair<TaskName, Run>> runs;
@@ -106,26 +110,26 @@
   };
   const auto runs_there = those_there(moved);
   const auto runs_to_bar = those_there(to_bar);
-  Runner* next = PutNextLife(ctx.now(), before, answer.start_time);
+  Runner* next = ReplaceIncarnation(ctx.now(), before, answer.start_time);
   for (const auto& [name, run] : runs_there) {
-    AddCarried(ctx, next, name, run, false);
+    AddCarriedRun(ctx, next, name, run, false);
   }
   for (const auto& [name, run] : runs_to_bar) {
-    AddCarried(ctx, next, name, run, true);
+    AddCarriedRun(ctx, next, name, run, true);
   }
-  for (const TaskName& name : to_bar) AskStop(ctx, next, name);
-  BarLateStarts(ctx, next);
+  for (const TaskName& name : to_bar) RequestStop(ctx, next, name);
+  CancelLateStarts(ctx, next);
   return next;
 }
 
-Runner* Scheduler::PutNextLife(TimePoint now, Runner* before,
-                               StartTime start_time) {
+Runner* Scheduler::ReplaceIncarnation(TimePoint now, Runner* before,
+                                      StartTime start_time) {
   const bool start_under_way = std::any_of(
       before->runs().begin(), before->runs().end(), [](const auto& entry) {
         return entry.second.phase == RunPhase::kStarting;
       });
   if (start_under_way) {
-    before->late_orders.RecordGrant(now + options_.late_order);
+    before->late_orders.RecordGrant(now + options_.late_order_window);
   }
   const bool granted_now = before->poll_grants_lease;
   const TimePoint poll_sent_at = before->poll_sent_at;
@@ -139,8 +143,8 @@
   return next;
 }
 
-void Scheduler::AddCarried(Context& ctx, Runner* next, const TaskName& name,
-                           Run run, bool lost) {
+void Scheduler::AddCarriedRun(Context& ctx, Runner* next, const TaskName& name,
+                              Run run, bool lost) {
   // Its old life's time and progress say nothing here.
   if (run.phase != RunPhase::kInherited) run.phase = RunPhase::kUnconfirmed;
   run.counted_as_lost = run.counted_as_lost || lost;
@@ -158,16 +162,16 @@
   // The row of a run that is still to be judged goes on naming its life.
   if (job == nullptr || IsOfEarlierIncarnation(*next, run)) return;
   job->MoveRun(name, run.number, next->incarnation());
-  Mark(name.job);
+  MarkProgressChanged(name.job);
 }
 
-void Scheduler::BarLateStarts(Context& ctx, Runner* next) {
+void Scheduler::CancelLateStarts(Context& ctx, Runner* next) {
   for (const auto& [key, start] :
        next->late_orders.StartsArrivingAfter(ctx.now())) {
     if (next->FindRun(key.first, key.second) != nullptr) continue;
     OrphanedRun& orphans = next->AddOrphan(key, start.need);
     orphans.may_start_late = true;
-    orphans.stop.Request(ctx.now(), options_.stop_patience);
+    orphans.stop.Request(ctx.now(), options_.stop_retry_interval);
   }
   orders_due_.insert(next->id());
 }
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -22,8 +22,8 @@
 namespace {
 
 /// What the runs there tell of a runner's end.
-LostRunner DescribeLost(const Runner& runner, TimePoint silent_since,
-                        const LossRules& rules) {
+LostRunner DescribeLostRunner(const Runner& runner, TimePoint silent_since,
+                              const LossRules& rules) {
   LostRunner lost;
   lost.incarnation = runner.incarnation();
   lost.silent_since = silent_since;
@@ -68,32 +68,33 @@
 
 }  // namespace
 
-const char* ToString(RunnerEnd end) {
+const char* ToString(RunnerLossCause end) {
   switch (end) {
-    case RunnerEnd::kCrashed:
+    case RunnerLossCause::kCrashed:
       return "crashed";
-    case RunnerEnd::kLeft:
+    case RunnerLossCause::kLeft:
       return "left";
-    case RunnerEnd::kUnknown:
+    case RunnerLossCause::kUnknown:
       return "unknown";
   }
   return "";
 }
 
-void Scheduler::LoseRuns(Context& ctx, Runner* runner,
-                         const std::vector<TaskName>& names, RunnerEnd how,
-                         const std::vector<TaskName>& held) {
+void Scheduler::MarkRunsLost(Context& ctx, Runner* runner,
+                             const std::vector<TaskName>& names,
+                             RunnerLossCause how,
+                             const std::vector<TaskName>& held) {
   RunnerLoss loss;
   loss.how = how;
   loss.silent_since = runner->silent_since().value_or(ctx.now());
-  if (how != RunnerEnd::kLeft && !runner->ended) {
+  if (how != RunnerLossCause::kLeft && !runner->ended) {
     losses_.AddLostRunner(
-        DescribeLost(*runner, loss.silent_since, options_.losses));
+        DescribeLostRunner(*runner, loss.silent_since, options_.losses));
   }
   // Once for all runs: it looks at every runner.
-  if (!names.empty()) loss.with_others = WentWithOthers(*runner);
+  if (!names.empty()) loss.correlated = IsCorrelatedLoss(*runner);
   for (const TaskName& name : names) {
-    NoteLost(ctx, *runner, name, loss);
+    RecordLostRun(ctx, *runner, name, loss);
     runner->presumed_over.insert({name, runner->runs().at(name).number});
     if (std::find(held.begin(), held.end(), name) != held.end()) continue;
     EndRun(ctx, runner, name, RunEnd::kLeaseExpired, "");
@@ -101,8 +102,8 @@
   }
 }
 
-void Scheduler::NoteLost(Context& ctx, const Runner& runner,
-                         const TaskName& name, const RunnerLoss& loss) {
+void Scheduler::RecordLostRun(Context& ctx, const Runner& runner,
+                              const TaskName& name, const RunnerLoss& loss) {
   const Run run = runner.runs().at(name);
   const std::optional<Duration> lasted =
       TimeUntilSilence(run, loss.silent_since);
@@ -114,7 +115,7 @@
        {"born", ToString(LifeOf(runner, run).start_time)},
        {"lasted_ms", lasted.has_value() ? std::to_string(lasted->ms()) : ""},
        {"runner_end", ToString(loss.how)},
-       {"with_others", loss.with_others ? "yes" : "no"}});
+       {"with_others", loss.correlated ? "yes" : "no"}});
   CountLoss(ctx, runner, name, run, loss);
 }
 
@@ -122,7 +123,7 @@
                           const TaskName& name, const Run& run,
                           const RunnerLoss& loss) {
   Job* job = book_.Find(name.job);
-  if (job == nullptr || loss.how == RunnerEnd::kLeft) return;
+  if (job == nullptr || loss.how == RunnerLossCause::kLeft) return;
   // What never began can not have crashed its runner, and one start that may
   // come late counts once.
   if (NeverBegan(run.phase) || run.counted_as_lost) return;
@@ -134,18 +135,18 @@
   lost.incarnation = LifeOf(runner, run);
   lost.address = runner.info().address;
   lost.lasted = lasted.value_or(Duration(0));
-  lost.crashed = loss.how == RunnerEnd::kCrashed;
+  lost.crashed = loss.how == RunnerLossCause::kCrashed;
   // A start without an answer may never have been carried out: that two of them
   // went with their runners is no ground to give a task up.
   const bool began = run.phase == RunPhase::kRunning;
-  lost.suspicious = began && soon && !loss.with_others;
+  lost.suspicious = began && soon && !loss.correlated;
   job->DropOutlivedLosses(name, lost.lasted, options_.losses);
   if (!job->RecordLoss(name, lost)) return;
   if (lost.crashed) return;
   losses_.AddUnresolved(name, lost, ListedBirth(lost.incarnation), ctx.now());
 }
 
-bool Scheduler::WentWithOthers(const Runner& runner) const {
+bool Scheduler::IsCorrelatedLoss(const Runner& runner) const {
   if (!runner.silent_since().has_value()) return false;
   const LossRules& rules = options_.losses;
   const TimePoint moment = *runner.silent_since();
@@ -158,7 +159,7 @@
     const bool same_moment = *since <= moment + rules.same_moment &&
                              moment <= *since + rules.same_moment;
     if (!same_moment || !known.insert(other->incarnation()).second) continue;
-    lost.push_back(DescribeLost(*other, *since, rules));
+    lost.push_back(DescribeLostRunner(*other, *since, rules));
   }
   return CountUnexplained(lost) >= rules.min_unexplained_crashes;
 }
@@ -173,13 +174,14 @@
                                   {"runner", incarnation.runner.value()},
                                   {"born", ToString(incarnation.start_time)},
                                   {"lives", ToString(fate)}});
-    Mark(name.job);
-    JudgeTask(ctx, name);
+    MarkProgressChanged(name.job);
+    ApplyLossPolicy(ctx, name);
     plan_due_ = true;
   }
 }
 
-void Scheduler::TakeOtherLives(Context& ctx, const RunnersListed& answer) {
+void Scheduler::ResolveReplacedIncarnations(Context& ctx,
+                                            const RunnersListed& answer) {
   if (!losses_.HasUnresolved()) return;
   for (const RunnerInfo& info : answer.runners) {
     for (const IncarnationId& lost :
@@ -189,14 +191,14 @@
   }
 }
 
-void Scheduler::SettleOverdue(Context& ctx) {
+void Scheduler::ResolveOverdueLosses(Context& ctx) {
   if (!losses_.HasUnresolved()) return;
   for (const IncarnationId& incarnation : losses_.Overdue(ctx.now())) {
     ResolveLosses(ctx, incarnation, IncarnationFate::kPresumedCrashed);
   }
 }
 
-void Scheduler::JudgeTask(Context& ctx, const TaskName& name) {
+void Scheduler::ApplyLossPolicy(Context& ctx, const TaskName& name) {
   Job* job = book_.Find(name.job);
   if (job == nullptr) return;
   Task* task = job->Find(name);
@@ -207,7 +209,7 @@
   ctx.Log(LogId::kTaskGivenUp, {{"job", name.job.value()},
                                 {"task", ToString(name)},
                                 {"runs", ListLosses(task->losses)}});
-  Settle(ctx, job);
+  UpdateJobState(ctx, job);
 }
 
 void Scheduler::InheritLosses(Context& ctx, const Job& job) {
@@ -228,11 +230,11 @@
       }
     }
   }
-  for (const TaskName& name : lost) JudgeTask(ctx, name);
+  for (const TaskName& name : lost) ApplyLossPolicy(ctx, name);
 }
 
-void Scheduler::HandleAnswer(Context& ctx, Runner* runner,
-                             std::int64_t clock_ms) {
+void Scheduler::RecordContact(Context& ctx, Runner* runner,
+                              std::int64_t clock_ms) {
   fleet_.HandleAnswer(runner, ctx.now(), clock_ms);
   if (!losses_.HasUnresolved()) return;
   ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kAlive);
@@ -245,10 +247,10 @@
   }
 }
 
-void Scheduler::NoteOrderHeard(Context& ctx, Runner* runner,
-                               std::int64_t clock_ms) {
+void Scheduler::RecordOrderContact(Context& ctx, Runner* runner,
+                                   std::int64_t clock_ms) {
   if (IsReported(runner->incarnation().start_time) || clock_ms <= 0) return;
-  HandleAnswer(ctx, runner, clock_ms);
+  RecordContact(ctx, runner, clock_ms);
 }
 
 StartTime Scheduler::ListedBirth(const IncarnationId& incarnation) const {
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -19,38 +19,38 @@
 namespace {
 
 /// For people.
-const char* ToString(StartObstacle obstacle) {
+const char* ToString(StartDropReason obstacle) {
   switch (obstacle) {
-    case StartObstacle::kJobOver:
+    case StartDropReason::kJobFinished:
       return "its job is over";
-    case StartObstacle::kGangOver:
+    case StartDropReason::kGangEnded:
       return "its gang's run is over";
-    case StartObstacle::kStopping:
+    case StartDropReason::kStopping:
       return "it is to stop";
-    case StartObstacle::kReleasing:
+    case StartDropReason::kReleasing:
       return "another process is to schedule";
-    case StartObstacle::kRunnerLeaves:
+    case StartDropReason::kRunnerDraining:
       return "its runner leaves";
-    case StartObstacle::kHallEmptied:
+    case StartDropReason::kHallDraining:
       return "its runner's hall is to be emptied";
-    case StartObstacle::kRunnerSilent:
+    case StartDropReason::kRunnerUnreachable:
       return "its runner is silent";
-    case StartObstacle::kNoTicket:
+    case StartDropReason::kTicketExpired:
       return "its ticket ran out";
-    case StartObstacle::kNoCapacity:
+    case StartDropReason::kNoCapacity:
       return "its runner has no room for it any more";
-    case StartObstacle::kLeaseRunsOut:
+    case StartDropReason::kAwaitingLeaseExpiry:
       return "the runner's lease is to run out";
-    case StartObstacle::kRoomUnconfirmed:
+    case StartDropReason::kCapacityUnconfirmed:
       return "its runner's room was not confirmed lately";
-    case StartObstacle::kTaskCrashesRunners:
+    case StartDropReason::kTaskCrashesRunners:
       return "its task crashes runners";
   }
   return "";
 }
 
 /// True if a member of the gang ended, or is in another run already.
-bool GangIsOver(const Job& job, const TaskName& name, int number) {
+bool HasGangEnded(const Job& job, const TaskName& name, int number) {
   if (!job.step_spec(name.step).gang) return false;
   const Step& step = job.occurrences()[name.occurrence].steps[name.step];
   return std::any_of(
@@ -89,7 +89,7 @@
 // known seconds before.
 void Scheduler::SendNextOrder(Context& ctx, Runner* runner) {
   // Giving up one member of a gang stops the others, some of them here.
-  while (GiveUpStarts(ctx, runner)) {
+  while (DropStaleStarts(ctx, runner)) {
   }
   if (runner->order_in_flight || SendNextStop(ctx, runner)) return;
   if (runner->waiting_starts.empty()) return;
@@ -98,55 +98,56 @@
   SendStart(ctx, runner, name, runner->FindRun(name, number));
 }
 
-bool Scheduler::GiveUpStarts(Context& ctx, Runner* runner) {
+bool Scheduler::DropStaleStarts(Context& ctx, Runner* runner) {
   bool given_up = false;
   const auto waiting = std::move(runner->waiting_starts);
   runner->waiting_starts.clear();
   for (const auto& [name, number] : waiting) {
     const Run* run = runner->FindRun(name, number);
     if (run == nullptr) continue;
-    const std::optional<StartObstacle> obstacle =
-        ObstacleTo(ctx.now(), *runner, name, *run);
+    const std::optional<StartDropReason> obstacle =
+        FindDropReason(ctx.now(), *runner, name, *run);
     if (!obstacle.has_value()) {
       runner->waiting_starts.emplace_back(name, number);
       continue;
     }
     given_up = true;
-    GiveUpStart(ctx, runner, name, *obstacle);
+    DropStart(ctx, runner, name, *obstacle);
   }
   return given_up;
 }
 
-std::optional<StartObstacle> Scheduler::ObstacleTo(TimePoint now,
-                                                   const Runner& runner,
-                                                   const TaskName& name,
-                                                   const Run& run) {
+std::optional<StartDropReason> Scheduler::FindDropReason(TimePoint now,
+                                                         const Runner& runner,
+                                                         const TaskName& name,
+                                                         const Run& run) {
   const Job* job = book_.Find(name.job);
-  if (job == nullptr) return StartObstacle::kJobOver;
+  if (job == nullptr) return StartDropReason::kJobFinished;
   const Task& task =
       job->occurrences()[name.occurrence].steps[name.step].tasks[name.index];
   // The run itself is no start in vain yet.
   if (EvaluateLosses(task.losses, run.number - 1, options_.losses) !=
       LossVerdict::kMayStart) {
-    return StartObstacle::kTaskCrashesRunners;
+    return StartDropReason::kTaskCrashesRunners;
   }
-  if (run.stopping) return StartObstacle::kStopping;
+  if (run.stopping) return StartDropReason::kStopping;
   // A member that starts alone holds its room for seconds, to end alone.
-  if (GangIsOver(*job, name, run.number)) return StartObstacle::kGangOver;
-  if (releasing_) return StartObstacle::kReleasing;
-  if (runner.draining_since().has_value()) return StartObstacle::kRunnerLeaves;
+  if (HasGangEnded(*job, name, run.number)) return StartDropReason::kGangEnded;
+  if (releasing_) return StartDropReason::kReleasing;
+  if (runner.draining_since().has_value())
+    return StartDropReason::kRunnerDraining;
   if (catalog_->drained_halls.count(runner.info().hall) != 0) {
-    return StartObstacle::kHallEmptied;
+    return StartDropReason::kHallDraining;
   }
-  if (!runner.reachable()) return StartObstacle::kRunnerSilent;
-  if (!runner.MayGrantLease(now)) return StartObstacle::kLeaseRunsOut;
-  if (!runner.HasCapacityFor(run)) return StartObstacle::kNoCapacity;
-  if (!GuardsRoom(runner) && !fleet_.KnowsCapacities(now)) {
-    return StartObstacle::kRoomUnconfirmed;
+  if (!runner.reachable()) return StartDropReason::kRunnerUnreachable;
+  if (!runner.MayGrantLease(now)) return StartDropReason::kAwaitingLeaseExpiry;
+  if (!runner.HasCapacityFor(run)) return StartDropReason::kNoCapacity;
+  if (!EnforcesCapacity(runner) && !fleet_.KnowsCapacities(now)) {
+    return StartDropReason::kCapacityUnconfirmed;
   }
   const bool ticket_ran_out = PolicyOf(*job, *catalog_).needs_advice &&
                               TicketOf(now, runner, name).empty();
-  if (ticket_ran_out) return StartObstacle::kNoTicket;
+  if (ticket_ran_out) return StartDropReason::kTicketExpired;
   return std::nullopt;
 }
 
@@ -156,8 +157,8 @@
                            runner.incarnation(), now);
 }
 
-void Scheduler::GiveUpStart(Context& ctx, Runner* runner, const TaskName& name,
-                            StartObstacle obstacle) {
+void Scheduler::DropStart(Context& ctx, Runner* runner, const TaskName& name,
+                          StartDropReason obstacle) {
   ctx.Log(LogId::kStartGivenUp, {{"task", ToString(name)},
                                  {"runner", runner->id().value()},
                                  {"reason", ToString(obstacle)}});
@@ -212,7 +213,8 @@
   orders_due_.insert(runner->id());
 }
 
-void Scheduler::AskStop(Context& ctx, Runner* runner, const TaskName& name) {
+void Scheduler::RequestStop(Context& ctx, Runner* runner,
+                            const TaskName& name) {
   const auto found = runner->runs().find(name);
   if (found == runner->runs().end()) return;
   Run& run = found->second;
@@ -223,10 +225,10 @@
   const bool too_early =
       WasNeverSent(run.phase) || run.phase == RunPhase::kStarting;
   if (too_early || runner->info().address.empty()) return;
-  run.stop.Request(ctx.now(), options_.stop_patience);
+  run.stop.Request(ctx.now(), options_.stop_retry_interval);
 }
 
-void Scheduler::StopAll(Context& ctx, const JobId& job) {
+void Scheduler::StopJob(Context& ctx, const JobId& job) {
   const TaskName first{job, 0, 0, 0};
   for (auto& [id, runner] : fleet_.runners()) {
     std::vector<TaskName> names;
@@ -234,7 +236,7 @@
          it != runner->runs().end() && it->first.job == job; ++it) {
       names.push_back(it->first);
     }
-    for (const TaskName& name : names) AskStop(ctx, runner.get(), name);
+    for (const TaskName& name : names) RequestStop(ctx, runner.get(), name);
   }
 }
 
@@ -248,7 +250,7 @@
     Runner* runner = fleet_.Find(member.incarnation);
     TaskName other = name;
     other.index = static_cast<int>(i);
-    if (runner != nullptr) AskStop(ctx, runner, other);
+    if (runner != nullptr) RequestStop(ctx, runner, other);
   }
 }
 
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr int kAllDone = 100;
+constexpr int kComplete = 100;
 
 }  // namespace
 
@@ -25,19 +25,20 @@
   const StepSpec& step = job->step_spec(name.step);
   if (step.long_running || run->pace_measured_from.ms() == 0) return;
   const Duration elapsed = ctx.now() - run->pace_measured_from;
-  if (elapsed < options_.pace_interval) return;
+  if (elapsed < options_.min_pace_interval) return;
   // A gang that has not begun shows no progress anywhere.
   if (run->percent == 0) return;
   const int done = std::max(1, run->percent - run->pace_percent);
-  const double length = static_cast<double>((elapsed * kAllDone).ms()) / done;
+  const double length = static_cast<double>((elapsed * kComplete).ms()) / done;
   run->pace_measured_from = ctx.now();
   run->pace_percent = run->percent;
-  JudgePace(ctx, runner, job, name, *run, length);
-  LearnLength(ctx, job, name, run);
+  EvaluatePace(ctx, runner, job, name, *run, length);
+  LearnRunTime(ctx, job, name, run);
 }
 
-void Scheduler::JudgePace(Context& ctx, Runner* runner, Job* job,
-                          const TaskName& name, const Run& run, double length) {
+void Scheduler::EvaluatePace(Context& ctx, Runner* runner, Job* job,
+                             const TaskName& name, const Run& run,
+                             double length) {
   Step& step = job->occurrences()[name.occurrence].steps[name.step];
   const Duration elsewhere = step.MeanDurationElsewhere(runner->incarnation());
   const Duration seen(std::llround(length));
@@ -52,7 +53,7 @@
   const Duration expected = std::max({run.expected, elsewhere, Duration(1)});
   const double ratio = length / static_cast<double>(expected.ms());
   runner->RecordPace(ratio, job->spec().id);
-  const double left = length * (kAllDone - run.percent) / kAllDone;
+  const double left = length * (kComplete - run.percent) / kComplete;
   // Known lengths of the step's other runs are a surer ground than guesses.
   const double bound = elsewhere > Duration(0)
                            ? options_.slow_run_ratio
@@ -60,13 +61,13 @@
   const bool told_by_others =
       elsewhere > Duration(0) || runner->IsSlowExcluding(job->spec().id);
   if (ratio > bound && told_by_others) {
-    MoveFromSlow(ctx, runner, name, run, Duration(std::llround(left)),
-                 expected);
+    MoveOffSlowRunner(ctx, runner, name, run, Duration(std::llround(left)),
+                      expected);
   }
 }
 
-void Scheduler::LearnLength(Context& ctx, Job* job, const TaskName& name,
-                            Run* run) {
+void Scheduler::LearnRunTime(Context& ctx, Job* job, const TaskName& name,
+                             Run* run) {
   if (!run->usable_for_estimates || run->percent < options_.min_learn_percent)
     return;
   run->usable_for_estimates = false;
@@ -74,13 +75,14 @@
   if (step.duration_known) return;
   step.duration_known = true;
   const Duration whole =
-      (ctx.now() - run->started_at) * kAllDone / run->percent;
+      (ctx.now() - run->started_at) * kComplete / run->percent;
   times_.AddSample(job->spec().queue, job->step_spec(name.step).estimate,
                    whole);
 }
 
-void Scheduler::MoveFromSlow(Context& ctx, Runner* runner, const TaskName& name,
-                             const Run& run, Duration left, Duration expected) {
+void Scheduler::MoveOffSlowRunner(Context& ctx, Runner* runner,
+                                  const TaskName& name, const Run& run,
+                                  Duration left, Duration expected) {
   if (run.stopping || !runner->IsSlow()) return;
   if (run.number > options_.max_moves) return;
   const double anew =
@@ -91,7 +93,7 @@
                              {"percent", std::to_string(run.percent)},
                              {"left_ms", std::to_string(left.ms())},
                              {"slowness", absl::StrCat(runner->slowness())}});
-  AskStop(ctx, runner, name);
+  RequestStop(ctx, runner, name);
   StopGang(ctx, name);
 }
 
@@ -101,7 +103,7 @@
     if (runner->runs().empty()) continue;
     const bool silent = !runner->reachable();
     if (silent && ctx.now() >= runner->lease_expires_at()) {
-      EndLapsed(ctx, runner.get());
+      EndExpiredRuns(ctx, runner.get());
       continue;
     }
     std::vector<TaskName> names;
@@ -110,7 +112,7 @@
       const auto found = runner->runs().find(name);
       if (found == runner->runs().end()) continue;
       CheckStall(ctx, runner.get(), name, &found->second);
-      CheckLeaving(ctx, runner.get(), name, found->second);
+      CheckDraining(ctx, runner.get(), name, found->second);
     }
   }
 }
@@ -118,23 +120,23 @@
 void Scheduler::CheckStall(Context& ctx, Runner* runner, const TaskName& name,
                            Run* run) {
   if (run->phase != RunPhase::kRunning || run->stopping) return;
-  if (!runner->reachable() || run->percent >= kAllDone) return;
+  if (!runner->reachable() || run->percent >= kComplete) return;
   const Job* job = book_.Find(name.job);
   if (job == nullptr || job->step_spec(name.step).long_running) return;
   // A percent of a slow run takes its time.
-  const Duration percent = run->expected / kAllDone;
+  const Duration percent = run->expected / kComplete;
   const Duration patience =
       options_.stall_timeout + percent * options_.stall_timeout_percent;
   if (ctx.now() - run->progressed_at < patience) return;
   ctx.Log(LogId::kRunStalled, {{"task", ToString(name)},
                                {"runner", runner->id().value()},
                                {"percent", std::to_string(run->percent)}});
-  Avoid(ctx, runner, options_.stall_backoff, "a run stands still");
-  AskStop(ctx, runner, name);
+  BackOff(ctx, runner, options_.stall_backoff, "a run stands still");
+  RequestStop(ctx, runner, name);
 }
 
-void Scheduler::CheckLeaving(Context& ctx, Runner* runner, const TaskName& name,
-                             const Run& run) {
+void Scheduler::CheckDraining(Context& ctx, Runner* runner,
+                              const TaskName& name, const Run& run) {
   if (!runner->draining_since().has_value() || run.stopping) return;
   if (run.phase != RunPhase::kRunning) return;
   const Job* job = book_.Find(name.job);
@@ -152,7 +154,7 @@
   ctx.Log(LogId::kRunEvacuated, {{"task", ToString(name)},
                                  {"runner", runner->id().value()},
                                  {"percent", std::to_string(run.percent)}});
-  AskStop(ctx, runner, name);
+  RequestStop(ctx, runner, name);
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -17,7 +17,7 @@
 namespace {
 
 // A runner lists at most this many ends in one answer.
-constexpr std::size_t kMostListedEnds = 500;
+constexpr std::size_t kMaxListedEnds = 500;
 
 }  // namespace
 
@@ -56,7 +56,7 @@
   Runner* runner = fleet_.Find(answer.asked);
   if (runner == nullptr) return LeaseStatus::kHeld;
   NoteOrderAnswered(runner);
-  NoteOrderHeard(ctx, runner, answer.clock_ms);
+  RecordOrderContact(ctx, runner, answer.clock_ms);
   plan_due_ = true;
   Run* run = runner->FindRun(answer.task, answer.run);
   if (run == nullptr) return LeaseStatus::kHeld;
@@ -67,10 +67,10 @@
     run->started_at = ctx.now();
     run->progressed_at = ctx.now();
     run->pace_measured_from = ctx.now();
-    if (run->stopping) AskStop(ctx, runner, answer.task);
+    if (run->stopping) RequestStop(ctx, runner, answer.task);
     return LeaseStatus::kHeld;
   }
-  TakeFailedStart(ctx, runner, answer, run);
+  HandleFailedStart(ctx, runner, answer, run);
   return LeaseStatus::kHeld;
 }
 
@@ -79,14 +79,14 @@
   const bool open =
       answer.earlier_attempt_pending || answer.outcome == OrderOutcome::kLost;
   if (!open) return;
-  const TimePoint until = now + options_.late_order;
+  const TimePoint until = now + options_.late_order_window;
   runner->late_orders.RecordStart({answer.task, answer.run}, run.need, now,
                                   until);
   runner->late_orders.RecordGrant(until);
 }
 
-void Scheduler::TakeFailedStart(Context& ctx, Runner* runner,
-                                const StartRunCompleted& answer, Run* run) {
+void Scheduler::HandleFailedStart(Context& ctx, Runner* runner,
+                                  const StartRunCompleted& answer, Run* run) {
   ctx.Log(LogId::kStartFailed, {{"task", ToString(answer.task)},
                                 {"run", std::to_string(answer.run)},
                                 {"runner", answer.asked.runner.value()},
@@ -95,21 +95,21 @@
     // What another life refused never began, unless it had been sent to the
     // life before, which did not answer.
     if (runner->reachable()) run->phase = RunPhase::kRefused;
-    EndAll(ctx, runner, "another life answers at its address");
+    EndAllRuns(ctx, runner, "another life answers at its address");
     return;
   }
   if (answer.outcome == OrderOutcome::kLost) {
     // It may still come: the next look tells, or a stop rules it out.
     run->phase = RunPhase::kUnconfirmed;
-    MissAnswer(ctx, runner);
+    HandleMissedAnswer(ctx, runner);
     return;
   }
-  if (answer.outcome == OrderOutcome::kNotSent) MissAnswer(ctx, runner);
+  if (answer.outcome == OrderOutcome::kNotSent) HandleMissedAnswer(ctx, runner);
   if (answer.outcome == OrderOutcome::kUnhealthy) {
-    Avoid(ctx, runner, options_.unhealthy_backoff, "not well");
+    BackOff(ctx, runner, options_.unhealthy_backoff, "not well");
   }
   if (answer.outcome == OrderOutcome::kNoCapacity) {
-    Avoid(ctx, runner, options_.no_room_pause, "no room");
+    BackOff(ctx, runner, options_.no_capacity_backoff, "no room");
   }
   EndRun(ctx, runner, answer.task, RunEnd::kRejected, "");
   StopGang(ctx, answer.task);
@@ -122,9 +122,9 @@
   Runner* runner = fleet_.Find(answer.asked);
   if (runner == nullptr) return LeaseStatus::kHeld;
   NoteOrderAnswered(runner);
-  NoteOrderHeard(ctx, runner, answer.clock_ms);
+  RecordOrderContact(ctx, runner, answer.clock_ms);
   if (answer.outcome == OrderOutcome::kOtherIncarnation) {
-    EndAll(ctx, runner, "another life answers at its address");
+    EndAllRuns(ctx, runner, "another life answers at its address");
     return LeaseStatus::kHeld;
   }
   const bool answered = answer.outcome == OrderOutcome::kDone ||
@@ -141,7 +141,7 @@
     run->answered_at = ctx.now();
     run->stop_answered = true;
   } else {
-    MissAnswer(ctx, runner);
+    HandleMissedAnswer(ctx, runner);
   }
   return LeaseStatus::kHeld;
 }
@@ -167,11 +167,11 @@
   if (end != RunEnd::kLeaseExpired)
     job->DropOutlivedLosses(name, worked, options_.losses);
   if (!job->EndRun(name, number, end, checkpoint, MaxAttempts(*job))) return;
-  Settle(ctx, job);
-  JudgeTask(ctx, name);
+  UpdateJobState(ctx, job);
+  ApplyLossPolicy(ctx, name);
 }
 
-void Scheduler::EndAll(Context& ctx, Runner* runner, const char* reason) {
+void Scheduler::EndAllRuns(Context& ctx, Runner* runner, const char* reason) {
   if (!runner->ended) {
     ctx.Log(LogId::kRunnerLost,
             {{"runner", runner->id().value()},
@@ -180,19 +180,20 @@
   }
   std::vector<TaskName> names;
   for (const auto& [name, run] : runner->runs()) names.push_back(name);
-  LoseRuns(ctx, runner, names,
-           runner->LeftAsAnnounced() ? RunnerEnd::kLeft : RunnerEnd::kCrashed);
+  MarkRunsLost(ctx, runner, names,
+               runner->LeftAsAnnounced() ? RunnerLossCause::kLeft
+                                         : RunnerLossCause::kCrashed);
   runner->ended = true;
   ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kCrashed);
 }
 
-void Scheduler::EndLapsed(Context& ctx, Runner* runner) {
+void Scheduler::EndExpiredRuns(Context& ctx, Runner* runner) {
   std::vector<TaskName> lapsed;
   std::vector<TaskName> of_life_before;
   for (const auto& [name, run] : runner->runs()) {
     const bool may_still_come =
         run.phase == RunPhase::kUnconfirmed &&
-        ctx.now() - run.answered_at < options_.late_order;
+        ctx.now() - run.answered_at < options_.late_order_window;
     if (may_still_come) continue;
     (IsOfEarlierIncarnation(*runner, run) ? of_life_before : lapsed)
         .push_back(name);
@@ -204,11 +205,12 @@
                                {"runs", std::to_string(over)}});
   // That this life leaves says nothing of the one before.
   if (!of_life_before.empty()) {
-    LoseRuns(ctx, runner, of_life_before, RunnerEnd::kUnknown);
+    MarkRunsLost(ctx, runner, of_life_before, RunnerLossCause::kUnknown);
   }
   if (lapsed.empty()) return;
-  LoseRuns(ctx, runner, lapsed,
-           runner->LeftAsAnnounced() ? RunnerEnd::kLeft : RunnerEnd::kUnknown);
+  MarkRunsLost(ctx, runner, lapsed,
+               runner->LeftAsAnnounced() ? RunnerLossCause::kLeft
+                                         : RunnerLossCause::kUnknown);
 }
 
 Scheduler::LeaseStatus Scheduler::Handle(Context& ctx,
@@ -222,37 +224,38 @@
   if (!is_newest) return LeaseStatus::kHeld;
   runner->poll_in_flight = false;
   if (answer.outcome == OrderOutcome::kOtherIncarnation) {
-    EndAll(ctx, runner, "another life answers at its address");
+    EndAllRuns(ctx, runner, "another life answers at its address");
     return LeaseStatus::kHeld;
   }
   if (answer.outcome != OrderOutcome::kDone) {
-    MissPoll(ctx, runner, answer.outcome);
+    HandleMissedPoll(ctx, runner, answer.outcome);
     return LeaseStatus::kHeld;
   }
   // What left after a life was heard is answered by that one or a later one.
   if (answer.start_time != runner->incarnation().start_time) {
-    runner = StartIncarnation(ctx, runner, answer);
+    runner = BeginIncarnation(ctx, runner, answer);
   }
   if (!runner->reachable()) {
     ctx.Log(LogId::kRunnerHeard, {{"runner", runner->id().value()},
                                   {"born", ToString(answer.start_time)}});
     plan_due_ = true;
   }
-  HandleAnswer(ctx, runner, answer.clock_ms);
+  RecordContact(ctx, runner, answer.clock_ms);
   runner->delivered_acknowledgement =
       std::max(runner->delivered_acknowledgement, runner->poll_acknowledges);
   runner->next_poll_at = ctx.now();
-  const bool all_taken = TakeEnds(ctx, runner, answer.ended) &&
-                         answer.ended.size() < kMostListedEnds;
-  for (const ReportedRun& run : answer.running) TakeRunning(ctx, runner, run);
-  ForgetUnwanted(runner, answer.running);
+  const bool all_taken = HandleEnds(ctx, runner, answer.ended) &&
+                         answer.ended.size() < kMaxListedEnds;
+  for (const ReportedRun& run : answer.running)
+    HandleRunningRun(ctx, runner, run);
+  ForgetUnwantedRuns(runner, answer.running);
   // What is not listed as running may be among the ends that are left.
-  if (all_taken) TakeAbsent(ctx, runner, answer);
+  if (all_taken) HandleUnlistedRuns(ctx, runner, answer);
   return LeaseStatus::kHeld;
 }
 
-bool Scheduler::TakeEnds(Context& ctx, Runner* runner,
-                         const std::vector<ReportedEnd>& ends) {
+bool Scheduler::HandleEnds(Context& ctx, Runner* runner,
+                           const std::vector<ReportedEnd>& ends) {
   for (const ReportedEnd& end : ends) {
     if (end.end != RunEnd::kLeaseExpired) continue;
     runner->newest_expired_end =
@@ -264,26 +267,27 @@
       runner->next_poll_at = ctx.now() + options_.fleet.unstored_end_wait;
       return false;
     }
-    TakeEnd(ctx, runner, end);
+    HandleEnd(ctx, runner, end);
   }
   return true;
 }
 
-void Scheduler::TakeEnd(Context& ctx, Runner* runner, const ReportedEnd& end) {
+void Scheduler::HandleEnd(Context& ctx, Runner* runner,
+                          const ReportedEnd& end) {
   if (end.number <= runner->newest_end) return;
   runner->newest_end = end.number;
   const Run* run = runner->FindRun(end.task, end.run);
   if (run == nullptr) {
     const bool presumed_over =
         runner->presumed_over.erase({end.task, end.run}) != 0;
-    if (MustNotBeNoted(*runner, end, presumed_over)) {
+    if (MustDeferAcknowledgment(*runner, end, presumed_over)) {
       const TimePoint until = runner->DeferAcknowledgement(
           end.number, ctx.now(), options_.fleet.run_lease);
-      Avoid(ctx, runner, until - ctx.now(), "its lease is to run out");
+      BackOff(ctx, runner, until - ctx.now(), "its lease is to run out");
     }
-    TakeLateEnd(ctx, *runner, end);
+    HandleLateEnd(ctx, *runner, end);
   } else {
-    Judge(ctx, runner, end, *run);
+    UpdateRunnerHealth(ctx, runner, end, *run);
     EndRun(ctx, runner, end.task, end.end, end.checkpoint);
   }
   // Also a job that was closed just now may not be stored yet.
@@ -302,8 +306,9 @@
 // show that; without any, a call that came late may have renewed it, or the
 // runner's clock may have stood still. So it has to run out first. What runs
 // there by now must not go with it.
-bool Scheduler::MustNotBeNoted(const Runner& runner, const ReportedEnd& end,
-                               bool presumed_over) {
+bool Scheduler::MustDeferAcknowledgment(const Runner& runner,
+                                        const ReportedEnd& end,
+                                        bool presumed_over) {
   if (end.end != RunEnd::kDone && end.end != RunEnd::kFailed) return false;
   if (end.number < runner.newest_expired_end) return false;
   const bool in_use = std::any_of(
@@ -321,8 +326,8 @@
 
 // A run that counted as lapsed, or that a next life began late, may be done all
 // the same. Its answer is there: another run would only be a second one.
-void Scheduler::TakeLateEnd(Context& ctx, const Runner& runner,
-                            const ReportedEnd& end) {
+void Scheduler::HandleLateEnd(Context& ctx, const Runner& runner,
+                              const ReportedEnd& end) {
   Job* job = book_.Find(end.task.job);
   if (job == nullptr || end.end != RunEnd::kDone) return;
   const Task* task = job->Find(end.task);
@@ -335,13 +340,13 @@
            {"runner", runner.id().value()},
            {"born", ToString(runner.incarnation().start_time)}});
   // Other members of a gang break when this one goes.
-  if (present != nullptr) AskStop(ctx, present, end.task);
-  Settle(ctx, job);
+  if (present != nullptr) RequestStop(ctx, present, end.task);
+  UpdateJobState(ctx, job);
   plan_due_ = true;
 }
 
-void Scheduler::TakeRunning(Context& ctx, Runner* runner,
-                            const ReportedRun& listed) {
+void Scheduler::HandleRunningRun(Context& ctx, Runner* runner,
+                                 const ReportedRun& listed) {
   Run* run = runner->FindRun(listed.task, listed.run);
   if (run == nullptr && !book_.HasReadPartitionOf(listed.task.job)) return;
   if (run == nullptr) {
@@ -349,8 +354,8 @@
     // a stop with each would hold up all other orders to this runner.
     runner
         ->AddOrphan({listed.task, listed.run},
-                    NeedOfUnwanted(*runner, listed.task))
-        .stop.Request(ctx.now(), options_.stop_patience);
+                    NeedOfUnwantedRun(*runner, listed.task))
+        .stop.Request(ctx.now(), options_.stop_retry_interval);
     orders_due_.insert(runner->id());
     return;
   }
@@ -363,41 +368,41 @@
   }
   Job* job = book_.Find(listed.task.job);
   if (job == nullptr) {
-    AskStop(ctx, runner, listed.task);
+    RequestStop(ctx, runner, listed.task);
     return;
   }
-  if (run->stopping) AskStop(ctx, runner, listed.task);
+  if (run->stopping) RequestStop(ctx, runner, listed.task);
   MeasurePace(ctx, runner, job, listed.task, run);
   if (listed.checkpoint.empty()) return;
   job->SaveProgress(listed.task, listed.checkpoint);
 }
 
-Resources Scheduler::NeedOfUnwanted(const Runner& runner,
-                                    const TaskName& name) {
+Resources Scheduler::NeedOfUnwantedRun(const Runner& runner,
+                                       const TaskName& name) {
   const Job* job = book_.Find(name.job);
   if (job != nullptr && job->HasStep(name.step)) {
     return job->step_spec(name.step).room();
   }
   // Of a job that is closed nobody knows any more what its tasks take. A runner
   // that does not guard its room gets nothing beside it.
-  return GuardsRoom(runner) ? Resources() : runner.info().room;
+  return EnforcesCapacity(runner) ? Resources() : runner.info().room;
 }
 
-bool Scheduler::GuardsRoom(const Runner& runner) const {
+bool Scheduler::EnforcesCapacity(const Runner& runner) const {
   const auto service = catalog_->services.find(runner.info().service);
   return service != catalog_->services.end() &&
          service->second.enforces_capacity;
 }
 
-void Scheduler::ForgetUnwanted(Runner* runner,
-                               const std::vector<ReportedRun>& running) {
+void Scheduler::ForgetUnwantedRuns(Runner* runner,
+                                   const std::vector<ReportedRun>& running) {
   std::set<RunKey> there;
   for (const ReportedRun& run : running) there.insert({run.task, run.run});
   runner->RemoveOrphansExcept(there);
 }
 
-void Scheduler::TakeAbsent(Context& ctx, Runner* runner,
-                           const RunnerPolled& answer) {
+void Scheduler::HandleUnlistedRuns(Context& ctx, Runner* runner,
+                                   const RunnerPolled& answer) {
   std::set<TaskName> running;
   for (const ReportedRun& run : answer.running) running.insert(run.task);
   std::vector<TaskName> lost;
@@ -417,16 +422,16 @@
     }
   }
   // An earlier life went with what an earlier scheduler started on it.
-  if (!lost.empty()) LoseRuns(ctx, runner, lost, RunnerEnd::kCrashed);
-  for (const TaskName& name : lapsed) EndUnlisted(ctx, runner, name);
+  if (!lost.empty()) MarkRunsLost(ctx, runner, lost, RunnerLossCause::kCrashed);
+  for (const TaskName& name : lapsed) EndUnlistedRun(ctx, runner, name);
   for (const TaskName& name : unsure) {
-    AskStop(ctx, runner, name);
+    RequestStop(ctx, runner, name);
     StopGang(ctx, name);
   }
 }
 
-void Scheduler::EndUnlisted(Context& ctx, Runner* runner,
-                            const TaskName& name) {
+void Scheduler::EndUnlistedRun(Context& ctx, Runner* runner,
+                               const TaskName& name) {
   const auto found = runner->runs().find(name);
   if (found == runner->runs().end()) return;
   ctx.Log(LogId::kRunNotListed,
