--- a/src/dispatch/scheduler_dump.cc
+++ b/src/dispatch/scheduler_dump.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The scheduler's state as JSON, for people who look into a process.
+/// Dump of the scheduler's state as JSON, for debugging.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
