--- a/test/scheduler-fixture.h
+++ b/test/scheduler-fixture.h
@@ -1,5 +1,5 @@
 /// @file
-/// The fixture of tests that play jobs in an emulated system.
+/// Fixture for tests that run jobs on an emulated system.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 
 namespace limeledge::emulator {
 
-/// An emulated system that has begun to schedule, and jobs for it.
+/// An emulated system whose scheduler is active, with helpers to submit jobs.
 class SchedulerFixture : public Utest {
  public:
   EmulatedSystem system{SystemOptions()};
@@ -32,11 +32,11 @@
     return step;
   }
 
-  /// Hands in a job of one step that takes just as long as guessed.
+  /// Submits a job of one step whose tasks take exactly the estimated time.
   JobId Submit(const dispatch::StepSpec& step, int priority = 1) {
     return SubmitTo(&system, step, priority);
   }
-  /// The same to another system.
+  /// Like `Submit`, to another system.
   static JobId SubmitTo(EmulatedSystem* other, const dispatch::StepSpec& step,
                         int priority = 1) {
     dispatch::JobSpec spec;
@@ -47,7 +47,7 @@
     return other->Submit(std::move(spec), {truth});
   }
 
-  /// Racks on which the job runs.
+  /// Racks on which runs of the job are active.
   static std::set<std::string> RacksOf(EmulatedSystem* other,
                                        const JobId& job) {
     std::set<std::string> racks;
@@ -64,7 +64,8 @@
   const JobWatch& Watch(const JobId& job) { return system.jobs().at(job); }
 
   void CheckNoViolation() {
-    for (const std::string& what : system.violations()) FAIL(what.c_str());
+    for (const std::string& violation : system.violations())
+      FAIL(violation.c_str());
   }
 };
 
--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the life of jobs and runs in an emulated system.
+/// Tests of jobs and runs on an emulated system, from submission to removal.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -33,8 +33,9 @@
   CheckNoViolation();
 }
 
-// The ends of a gang's other members were told as known at once, since the job
-// was closed by the first, whose own end was not stored yet.
+// The first member's end closed the job before that end was stored. The ends of
+// the other members were then acknowledged immediately, although nothing was
+// stored.
 TEST(Scheduler, EndsOfAGangAreNotAcknowledgedBeforeTheyAreStored) {
   dispatch::StepSpec gang = Step(3, 4, Duration(1000));
   gang.gang = true;
@@ -66,8 +67,9 @@
   system.Run(Duration(2000));
   STRCMP_EQUAL("cancelled", system.StateOf(job).c_str());
   for (const RunnerId& id : system.RunnerIds()) {
-    system.FindRunner(id)->ForEachRun(
-        [](const dispatch::TaskName&, int) { FAIL("still runs"); });
+    system.FindRunner(id)->ForEachRun([](const dispatch::TaskName&, int) {
+      FAIL("a run of the cancelled job is still active");
+    });
   }
 }
 
@@ -93,8 +95,8 @@
   LONGS_EQUAL(1, system.Waiting());
 }
 
-// A final job's rows are removed, its progress last: a scheduler that comes
-// between must not take it for a new one.
+// The rows of a final job are removed, its progress row last. A scheduler that
+// takes over in between must not mistake the remaining rows for a new job.
 TEST(Scheduler, FinalJobsAreForgottenForGood) {
   const JobId job = Submit(Step(2, 1, Duration(500)));
   system.Run(Duration(3000));
@@ -116,8 +118,8 @@
   CheckNoViolation();
 }
 
-// Each job had a transaction of its own, all sent at once, ten times a second
-// while the store refused them.
+// Each job used to be removed in a transaction of its own. While the store
+// rejected them, all were sent again at the same time, ten times a second.
 TEST(Scheduler, FinalJobsAreClearedInFewCalls) {
   constexpr int kJobs = 40;
   for (int i = 0; i < kJobs; ++i) Submit(Step(1, 0, Duration(100)));
@@ -128,7 +130,7 @@
   system.Run(Duration(175000));
   const int before = system.commits();
   system.Run(Duration(10000));
-  // Three renewals a second, and one removal a second that is refused.
+  // Three lease renewals and one rejected removal per second.
   CHECK_TRUE(system.commits() - before < 50);
   system.faults().parts_down.clear();
   system.Run(Duration(5000));
