--- a/test/order-queue-test.cc
+++ b/test/order-queue-test.cc
@@ -1,15 +1,14 @@
 /// @file
-/// Tests of the order in which a scheduler's orders go to one runner.
+/// Tests of the order in which the scheduler sends its orders to a runner.
 ///
-/// Seen: runners began tasks three to five seconds after the cancelling of
-/// their job was acknowledged. How it came about: all starts of one stored
-/// transaction were handed over at once and went to their runner one after the
-/// other. A runner that gave no answers held each of them for a second; jobs
-/// were cancelled meanwhile, and what was left went out and was carried out
-/// when the runner answered again. Cause: each start was checked when it joined
-/// that queue, not when it left. Proof: in the first test below, the start that
-/// is carried out too late had been checked in time and had four orders without
-/// an answer ahead of it.
+/// Guards against runners that start tasks of a cancelled job, three to five
+/// seconds after the cancellation was acknowledged. All starts of a transaction
+/// used to be handed over together and were sent to the runner one after the
+/// other. A runner that did not answer delayed each of them by a second. Jobs
+/// were cancelled meanwhile, but each start was checked only when it joined the
+/// queue, not when it was sent, so the runner carried out the rest once it
+/// answered again. In the first test below, the start that is carried out too
+/// late had passed its check and waited behind four orders without an answer.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -26,38 +25,39 @@
 namespace {
 
 constexpr int kTasks = 8;
-constexpr Duration kLong{60000};
+constexpr Duration kLongWork{60000};
 
 }  // namespace
 
 TEST_GROUP_BASE(OrderQueue, SchedulerFixture) {
-  std::vector<std::string> lines;
+  std::vector<std::string> trace_lines;
 
-  /// A system with so many runners that has begun to schedule.
+  /// Options of a system with this number of runners.
   static SystemOptions WithRunners(int runners) {
     SystemOptions options;
     options.runners = runners;
     return options;
   }
 
-  void Begin(EmulatedSystem * other) {
-    lines.clear();
+  void StartScheduling(EmulatedSystem * other) {
+    trace_lines.clear();
     other->Run(Duration(3000));
-    other->SetTrace([this](const std::string& line) { lines.push_back(line); });
+    other->SetTrace(
+        [this](const std::string& line) { trace_lines.push_back(line); });
   }
 
   static void RunUntilAccepted(EmulatedSystem * other, const JobId& job) {
     while (!other->jobs().at(job).accepted) other->Run(Duration(5));
   }
 
-  static void Mute(EmulatedSystem * other, std::size_t count) {
+  static void SilenceRunners(EmulatedSystem * other, std::size_t count) {
     for (const RunnerId& id : other->RunnerIds()) {
       if (other->faults().mute_runners.size() == count) return;
       other->faults().mute_runners.insert(id);
     }
   }
 
-  static int StartsOf(const EmulatedSystem& other, const JobId& job) {
+  static int CountStarts(const EmulatedSystem& other, const JobId& job) {
     int starts = 0;
     for (const auto& [task, count] : other.jobs().at(job).starts) {
       starts += count;
@@ -65,11 +65,11 @@
     return starts;
   }
 
-  /// Lines up to now that hold all of the words.
-  std::vector<std::string> Lines(const std::vector<std::string>& words) {
+  /// Trace lines so far that contain all of the words.
+  std::vector<std::string> FindLines(const std::vector<std::string>& words) {
     std::vector<std::string> found;
-    std::copy_if(lines.begin(), lines.end(), std::back_inserter(found),
-                 [&words](const std::string& line) {
+    std::copy_if(trace_lines.begin(), trace_lines.end(),
+                 std::back_inserter(found), [&words](const std::string& line) {
                    return std::all_of(words.begin(), words.end(),
                                       [&line](const std::string& word) {
                                         return line.find(word) !=
@@ -79,70 +79,74 @@
     return found;
   }
 
-  static void CheckSound(const EmulatedSystem& other) {
-    for (const std::string& what : other.violations()) FAIL(what.c_str());
+  static void CheckNoViolationIn(const EmulatedSystem& other) {
+    for (const std::string& violation : other.violations())
+      FAIL(violation.c_str());
   }
 };
 
 TEST(OrderQueue, NothingStartsOfACancelledJobOnceItsRunnerAnswersAgain) {
-  constexpr Duration kShortest{1500};
-  constexpr Duration kLongest{7000};
-  for (Duration silence = kShortest; silence <= kLongest;
-       silence = silence + Duration(250)) {
-    EmulatedSystem one(WithRunners(1));
-    Begin(&one);
-    Mute(&one, 1);
-    const JobId job = SubmitTo(&one, Step(kTasks, 0, kLong));
-    RunUntilAccepted(&one, job);
-    one.Run(Duration(100));
-    LONGS_EQUAL(kTasks, Lines({"run_assigned", job.value()}).size());
-    one.Cancel(job);
-    one.Run(silence);
-    one.faults().mute_runners.clear();
-    one.Run(Duration(12000));
-    CheckSound(one);
+  constexpr Duration kMinSilence{1500};
+  constexpr Duration kMaxSilence{7000};
+  for (Duration silent_for = kMinSilence; silent_for <= kMaxSilence;
+       silent_for = silent_for + Duration(250)) {
+    EmulatedSystem single(WithRunners(1));
+    StartScheduling(&single);
+    SilenceRunners(&single, 1);
+    const JobId job = SubmitTo(&single, Step(kTasks, 0, kLongWork));
+    RunUntilAccepted(&single, job);
+    single.Run(Duration(100));
+    LONGS_EQUAL(kTasks, FindLines({"run_assigned", job.value()}).size());
+    single.Cancel(job);
+    single.Run(silent_for);
+    single.faults().mute_runners.clear();
+    single.Run(Duration(12000));
+    CheckNoViolationIn(single);
   }
 }
 
 TEST(OrderQueue, StartsThatWaitForASilentRunnerArePlacedElsewhereAtOnce) {
-  EmulatedSystem two(WithRunners(2));
-  Begin(&two);
-  const std::string mute = two.RunnerIds().front().value();
-  Mute(&two, 1);
-  const JobId job = SubmitTo(&two, Step(2 * kTasks, 0, kLong));
-  RunUntilAccepted(&two, job);
-  two.Run(Duration(200));
-  CHECK_TRUE(Lines({"run_assigned", "runner=" + mute}).size() >= 3);
-  // One order is lost after a second; only that one is in doubt then.
-  two.Run(Duration(1500));
-  LONGS_EQUAL(2 * kTasks - 1, StartsOf(two, job));
-  CheckSound(two);
+  EmulatedSystem pair(WithRunners(2));
+  StartScheduling(&pair);
+  const std::string silent_runner = pair.RunnerIds().front().value();
+  SilenceRunners(&pair, 1);
+  const JobId job = SubmitTo(&pair, Step(2 * kTasks, 0, kLongWork));
+  RunUntilAccepted(&pair, job);
+  pair.Run(Duration(200));
+  CHECK_TRUE(FindLines({"run_assigned", "runner=" + silent_runner}).size() >=
+             3);
+  // One order is lost after a second; only its outcome is unknown then.
+  pair.Run(Duration(1500));
+  LONGS_EQUAL(2 * kTasks - 1, CountStarts(pair, job));
+  CheckNoViolationIn(pair);
 }
 
-// A member waited behind other starts while the other one ended alone, and was
-// then started in a run that was over, to end alone as well.
+// One member's start was queued behind other starts while the other member
+// ended without its gang. The queued start was then sent for a gang run that
+// had already ended.
 TEST(OrderQueue, MemberIsNotStartedOnceItsGangIsOver) {
-  EmulatedSystem two(WithRunners(2));
-  Begin(&two);
-  two.faults().order_time = Duration(600);
-  SubmitTo(&two, Step(12, 0, kLong));
-  dispatch::StepSpec step = Step(2, 8, kLong);
+  EmulatedSystem pair(WithRunners(2));
+  StartScheduling(&pair);
+  pair.faults().order_time = Duration(600);
+  SubmitTo(&pair, Step(12, 0, kLongWork));
+  dispatch::StepSpec step = Step(2, 8, kLongWork);
   step.gang = true;
-  two.Run(Duration(300));
-  const JobId gang = SubmitTo(&two, step);
-  two.Run(Duration(16000));
-  const std::string alone = "end=alone";
-  LONGS_EQUAL(1, Lines({"run_ended", gang.value(), "run=1 ", alone}).size());
+  pair.Run(Duration(300));
+  const JobId gang = SubmitTo(&pair, step);
+  pair.Run(Duration(16000));
+  const std::string ended_alone = "end=alone";
+  LONGS_EQUAL(
+      1, FindLines({"run_ended", gang.value(), "run=1 ", ended_alone}).size());
 }
 
 TEST(OrderQueue, OneOrderAtATimeGoesToARunner) {
   for (int i = 0; i < 4; ++i) {
-    const JobId job = Submit(Step(2 * kTasks, 0, kLong));
+    const JobId job = Submit(Step(2 * kTasks, 0, kLongWork));
     system.Run(Duration(300));
     system.Cancel(job);
   }
   system.faults().orders_lost = 0.5;
-  const JobId job = Submit(Step(2 * kTasks, 0, kLong));
+  const JobId job = Submit(Step(2 * kTasks, 0, kLongWork));
   system.Run(Duration(3000));
   system.Cancel(job);
   system.Run(Duration(10000));
@@ -151,63 +155,64 @@
 }
 
 TEST(OrderQueue, StopsGoBeforeStarts) {
-  EmulatedSystem one(WithRunners(1));
-  Begin(&one);
-  const JobId first = SubmitTo(&one, Step(2, 0, kLong));
-  one.Run(Duration(1000));
-  LONGS_EQUAL(2, StartsOf(one, first));
-  one.faults().order_time = Duration(200);
-  const JobId second = SubmitTo(&one, Step(kTasks, 0, kLong));
-  RunUntilAccepted(&one, second);
-  one.Cancel(first);
-  // Time for four orders, two of them the stops.
-  one.Run(Duration(900));
-  LONGS_EQUAL(2, Lines({" stop ", first.value()}).size());
-  one.Run(Duration(2000));
-  LONGS_EQUAL(kTasks, StartsOf(one, second));
-  CheckSound(one);
+  EmulatedSystem single(WithRunners(1));
+  StartScheduling(&single);
+  const JobId first = SubmitTo(&single, Step(2, 0, kLongWork));
+  single.Run(Duration(1000));
+  LONGS_EQUAL(2, CountStarts(single, first));
+  single.faults().order_time = Duration(200);
+  const JobId second = SubmitTo(&single, Step(kTasks, 0, kLongWork));
+  RunUntilAccepted(&single, second);
+  single.Cancel(first);
+  // Time for four orders, two of which are the stops.
+  single.Run(Duration(900));
+  LONGS_EQUAL(2, FindLines({" stop ", first.value()}).size());
+  single.Run(Duration(2000));
+  LONGS_EQUAL(kTasks, CountStarts(single, second));
+  CheckNoViolationIn(single);
 }
 
 TEST(OrderQueue, StartWhoseTicketRanOutWhileItWaitedIsNotSent) {
-  EmulatedSystem one(WithRunners(1));
-  Begin(&one);
-  one.faults().order_time = Duration(600);
-  const JobId job = SubmitTo(&one, Step(2 * kTasks, 0, kLong), 2);
-  one.Run(Duration(20000));
-  LONGS_EQUAL(2 * kTasks, StartsOf(one, job));
-  CheckSound(one);
+  EmulatedSystem single(WithRunners(1));
+  StartScheduling(&single);
+  single.faults().order_time = Duration(600);
+  const JobId job = SubmitTo(&single, Step(2 * kTasks, 0, kLongWork), 2);
+  single.Run(Duration(20000));
+  LONGS_EQUAL(2 * kTasks, CountStarts(single, job));
+  CheckNoViolationIn(single);
 }
 
 TEST(OrderQueue, RunOnASilentRunnerIsStoppedSoonAfterItAnswersAgain) {
-  EmulatedSystem one(WithRunners(1));
-  Begin(&one);
-  const JobId job = SubmitTo(&one, Step(kTasks, 0, kLong));
-  one.Run(Duration(1000));
-  LONGS_EQUAL(kTasks, StartsOf(one, job));
-  Mute(&one, 1);
-  one.Run(Duration(200));
-  one.Cancel(job);
-  one.Run(Duration(2500));
-  LONGS_EQUAL(0, Lines({" stop ", job.value()}).size());
-  one.faults().mute_runners.clear();
-  // A look is tried again each second, and may itself be lost by a second.
-  one.Run(Duration(2100));
-  LONGS_EQUAL(kTasks, Lines({" stop ", job.value()}).size());
-  CheckSound(one);
+  EmulatedSystem single(WithRunners(1));
+  StartScheduling(&single);
+  const JobId job = SubmitTo(&single, Step(kTasks, 0, kLongWork));
+  single.Run(Duration(1000));
+  LONGS_EQUAL(kTasks, CountStarts(single, job));
+  SilenceRunners(&single, 1);
+  single.Run(Duration(200));
+  single.Cancel(job);
+  single.Run(Duration(2500));
+  LONGS_EQUAL(0, FindLines({" stop ", job.value()}).size());
+  single.faults().mute_runners.clear();
+  // A poll is retried every second, and may itself be lost after a second.
+  single.Run(Duration(2100));
+  LONGS_EQUAL(kTasks, FindLines({" stop ", job.value()}).size());
+  CheckNoViolationIn(single);
 }
 
 TEST(OrderQueue, StartOfACancelledJobThatWaitsIsNeverSent) {
-  EmulatedSystem one(WithRunners(1));
-  Begin(&one);
-  one.faults().order_time = Duration(200);
-  const JobId job = SubmitTo(&one, Step(kTasks, 0, kLong));
-  RunUntilAccepted(&one, job);
-  one.Run(Duration(300));
-  one.Cancel(job);
-  one.Run(Duration(8000));
-  CHECK_TRUE(StartsOf(one, job) < kTasks);
-  LONGS_EQUAL(StartsOf(one, job), Lines({" stop ", job.value()}).size());
-  CheckSound(one);
+  EmulatedSystem single(WithRunners(1));
+  StartScheduling(&single);
+  single.faults().order_time = Duration(200);
+  const JobId job = SubmitTo(&single, Step(kTasks, 0, kLongWork));
+  RunUntilAccepted(&single, job);
+  single.Run(Duration(300));
+  single.Cancel(job);
+  single.Run(Duration(8000));
+  CHECK_TRUE(CountStarts(single, job) < kTasks);
+  LONGS_EQUAL(CountStarts(single, job),
+              FindLines({" stop ", job.value()}).size());
+  CheckNoViolationIn(single);
 }
 
 }  // namespace limeledge::emulator
