--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the scheduler while the store or runners are away.
+/// Tests of the scheduler during outages of the store or of runners.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
   LONGS_EQUAL(leader, system.leader());
   LONGS_EQUAL(4, Watch(job).listed_done.size());
   system.faults().store_answers_lost = 0;
-  // A node that has just lost two answers refuses the question.
+  // A node that has just lost two answers rejects requests.
   system.Run(Duration(1000));
   STRCMP_EQUAL("done", system.StateOf(job).c_str());
   CheckNoViolation();
@@ -36,39 +36,39 @@
   CheckNoViolation();
 }
 
-// While the jobs were read again, runners were not looked at: their leases ran
-// out if the store went away just then.
+// While the jobs were read again, runners used not to be polled. Their leases
+// expired if the store became unavailable at that time.
 TEST(Outage, BookThatReadsItsJobsAgainStaysLoaded) {
-  const dispatch::StoreTimeout patience;
-  dispatch::JobRegistry book(&patience);
+  const dispatch::StoreTimeout store_timeout;
+  dispatch::JobRegistry registry(&store_timeout);
   dispatch::Ticket tickets;
   dispatch::Effects effects;
   dispatch::Context ctx(TimePoint(1000), 0, &tickets, &effects);
-  // Answers every reading that the book asks for: there is nothing.
-  const auto read_nothing = [&] {
+  // Answers every read of the registry with an empty result.
+  const auto answer_with_no_rows = [&] {
     effects.clear();
-    book.Work(ctx);
+    registry.Work(ctx);
     const dispatch::Effects asked = effects;
     for (const dispatch::Effect& effect : asked) {
       dispatch::ReadCompleted empty;
       empty.outcome = dispatch::StoreOutcome::kDone;
       empty.ticket = std::get<dispatch::ReadRows>(effect).ticket;
-      CHECK_TRUE(book.Owns(empty.ticket));
-      CHECK_FALSE(book.loaded());
-      book.Handle(ctx, empty);
+      CHECK_TRUE(registry.Owns(empty.ticket));
+      CHECK_FALSE(registry.loaded());
+      registry.Handle(ctx, empty);
     }
     return asked.size();
   };
-  // Progress lies in one part, jobs in several.
-  LONGS_EQUAL(1, read_nothing());
-  CHECK_FALSE(book.loaded());
-  LONGS_EQUAL(dispatch::kJobPartitions, read_nothing());
-  CHECK_TRUE(book.loaded());
-  book.Work(ctx);
-  dispatch::ChangesReceived gone;
-  gone.outcome = dispatch::StoreOutcome::kHistoryCompacted;
-  book.Handle(ctx, gone);
-  CHECK_TRUE(book.loaded());
+  // Progress rows are in one partition, job rows in several.
+  LONGS_EQUAL(1, answer_with_no_rows());
+  CHECK_FALSE(registry.loaded());
+  LONGS_EQUAL(dispatch::kJobPartitions, answer_with_no_rows());
+  CHECK_TRUE(registry.loaded());
+  registry.Work(ctx);
+  dispatch::ChangesReceived compacted;
+  compacted.outcome = dispatch::StoreOutcome::kHistoryCompacted;
+  registry.Handle(ctx, compacted);
+  CHECK_TRUE(registry.loaded());
 }
 
 TEST(Outage, TasksOfARunnerThatIsCutOffStartElsewhereAfterItsLease) {
@@ -90,38 +90,40 @@
   CheckNoViolation();
 }
 
-// Some runners count a late order's lease from its arrival: a start that got no
-// answer may then begin long after the lease that it names.
+// Some runners count the lease of a late order from its arrival. A start
+// without an answer may therefore begin long after the lease end that it names.
 TEST(Outage, StartThatMayStillBeCarriedOutIsNotMadeElsewhere) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     SystemOptions options;
     options.seed = seed;
     options.bounds.lease_from_arrival = Duration(5000);
-    EmulatedSystem late(options);
-    late.Run(Duration(3000));
+    EmulatedSystem delayed(options);
+    delayed.Run(Duration(3000));
     dispatch::JobSpec spec;
     spec.steps = {Step(6, 1, Duration(20000))};
     spec.policy.priority = 1;
     TaskTruth truth;
     truth.work = Duration(20000);
-    late.Submit(spec, {truth});
-    late.faults().orders_lost = 1;
-    late.faults().late_order = Duration(12000);
-    late.Run(Duration(300));
-    // The starts are on their way; now their runners fall silent.
-    for (const RunnerId& id : late.RunnerIds()) {
-      if (id.value() >= "i-4") late.faults().unreachable_runners.insert(id);
+    delayed.Submit(spec, {truth});
+    delayed.faults().orders_lost = 1;
+    delayed.faults().late_order = Duration(12000);
+    delayed.Run(Duration(300));
+    // The starts are in flight; now their runners become unreachable.
+    for (const RunnerId& id : delayed.RunnerIds()) {
+      if (id.value() >= "i-4") delayed.faults().unreachable_runners.insert(id);
     }
-    late.faults().orders_lost = 0;
-    late.Run(Duration(7500));
-    late.faults().unreachable_runners.clear();
-    late.Run(Duration(12000));
-    for (const std::string& what : late.violations()) FAIL(what.c_str());
+    delayed.faults().orders_lost = 0;
+    delayed.Run(Duration(7500));
+    delayed.faults().unreachable_runners.clear();
+    delayed.Run(Duration(12000));
+    for (const std::string& violation : delayed.violations())
+      FAIL(violation.c_str());
   }
 }
 
-// All rows lay in one part, whose transactions wait for each other: of a store
-// that was eighty times as slow, callers got refusals for seconds.
+// All rows used to be in one partition, whose transactions wait for each other.
+// With a store eighty times slower than usual, callers were rejected for
+// seconds.
 TEST(Outage, CallersAreServedByASlowStore) {
   constexpr int kJobs = 12;
   system.faults().store_slowness = 80;
@@ -138,7 +140,7 @@
   CheckNoViolation();
 }
 
-// New jobs are seen while a part is away.
+// New jobs are started while a partition is unavailable.
 TEST(Outage, JobsOfOtherPartsStartWhileAPartOfTheStoreIsAway) {
   system.faults().parts_down = {dispatch::AllJobPartitions()[0]};
   system.KillNode(system.leader(), Duration(500));
@@ -149,25 +151,25 @@
   }
   system.Run(Duration(3000));
   for (const JobId& job : jobs) {
-    const bool away =
+    const bool is_unavailable =
         dispatch::JobPartition(job.value()) == dispatch::AllJobPartitions()[0];
-    STRCMP_EQUAL(away ? "" : "done", system.StateOf(job).c_str());
+    STRCMP_EQUAL(is_unavailable ? "" : "done", system.StateOf(job).c_str());
   }
   CheckNoViolation();
 }
 
-// A part's rows came late, as they had been before a following call began: jobs
-// of that part that were handed in between were never seen.
+// A partition's rows were read late, as of a revision before the current watch
+// began. Jobs that were submitted to that partition in between were never seen.
 TEST(Outage, PartThatIsReadLateIsFollowedFromWhereItWasRead) {
-  const dispatch::StoreTimeout patience;
-  dispatch::JobRegistry book(&patience);
+  const dispatch::StoreTimeout store_timeout;
+  dispatch::JobRegistry registry(&store_timeout);
   dispatch::Ticket tickets;
   dispatch::Effects effects;
   TimePoint now(1000);
   const auto work = [&] {
     effects.clear();
     dispatch::Context ctx(now, 0, &tickets, &effects);
-    book.Work(ctx);
+    registry.Work(ctx);
     return effects;
   };
   const auto answer = [&](const dispatch::Effect& read, int newest) {
@@ -176,7 +178,7 @@
     rows.ticket = std::get<dispatch::ReadRows>(read).ticket;
     rows.newest = Revision(newest);
     dispatch::Context ctx(now, 0, &tickets, &effects);
-    book.Handle(ctx, rows);
+    registry.Handle(ctx, rows);
   };
   answer(work().front(), 10);
   const dispatch::Effects reads = work();
@@ -190,17 +192,17 @@
   changes.ticket = first.ticket;
   changes.newest = Revision(120);
   dispatch::Context ctx(now, 0, &tickets, &effects);
-  book.Handle(ctx, changes);
+  registry.Handle(ctx, changes);
   const auto second = std::get<dispatch::AwaitChanges>(work().front());
   LONGS_EQUAL(50, second.after.value());
 }
 
-// A scheduler that could not store a job's end cleared the job away by its own
-// clock; the next one then knew nothing of it.
+// A scheduler that could not store the end of a job used to remove the job
+// after its own retention time. The next scheduler then had no record of it.
 TEST(Outage, JobWhoseEndIsNotStoredIsNeverClearedAway) {
   const JobId job = Submit(Step(2, 1, Duration(1500)));
   system.Run(Duration(700));
-  // The part with the scheduler's own rows is away; the jobs' parts are there.
+  // Only the partition with the scheduler's own rows is unavailable.
   system.faults().parts_down = {""};
   system.Run(Duration(200000));
   system.KillNode(system.leader(), Duration(500));
@@ -210,7 +212,7 @@
   CheckNoViolation();
 }
 
-// Leases were only renewed on runners with runs of jobs that were known.
+// Leases used to be renewed only on runners with runs of known jobs.
 TEST(Outage, RunsOfAPartThatIsAwayKeepTheirLeases) {
   const JobId job = Submit(Step(1, 8, Duration(12000)));
   system.Run(Duration(1000));
@@ -224,22 +226,21 @@
   CheckNoViolation();
 }
 
-// While the stop of a run in doubt was under way, looks at its runner followed
-// each other at once, though none could settle the doubt: 500 a second of
-// virtual time, each a call for the runner and work for the scheduler. A count
-// of the looks proved it.
+// While the stop of a run with unknown outcome was in flight, polls of its
+// runner used to follow each other without delay, 500 per second of virtual
+// time, although only the stop could resolve the run.
 TEST(Outage, RunnerThatLeavesOrdersUnansweredIsNotLookedAtAllTheTime) {
   SystemOptions options;
   options.runners = 1;
-  EmulatedSystem one(options);
-  one.Run(Duration(3000));
-  one.faults().orders_lost = 1;
-  one.faults().late_order = Duration(60000);
-  SubmitTo(&one, Step(1, 0, Duration(60000)));
-  const int before = one.polls();
-  one.Run(Duration(5000));
+  EmulatedSystem single(options);
+  single.Run(Duration(3000));
+  single.faults().orders_lost = 1;
+  single.faults().late_order = Duration(60000);
+  SubmitTo(&single, Step(1, 0, Duration(60000)));
+  const int before = single.polls();
+  single.Run(Duration(5000));
   constexpr int kMostPolls = 100;
-  CHECK_TRUE(one.polls() - before <= kMostPolls);
+  CHECK_TRUE(single.polls() - before <= kMostPolls);
 }
 
 }  // namespace limeledge::emulator
--- a/test/take-over-test.cc
+++ b/test/take-over-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of runs that outlast their scheduler.
+/// Tests of runs that continue while another node takes over as the scheduler.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,23 +19,24 @@
   STRCMP_EQUAL("done", system.StateOf(later).c_str());
   system.Run(Duration(4000));
   STRCMP_EQUAL("done", system.StateOf(running).c_str());
-  // What ran outlasted the take-over.
+  // The runs continued through the take-over.
   for (const auto& [task, starts] : Watch(running).starts) {
     LONGS_EQUAL(1, starts);
   }
   CheckNoViolation();
 }
 
-// A job waited for 16 s for a runner that was gone when its scheduler was lost.
+// A job used to wait 16 s for a runner that was lost together with the
+// scheduler.
 TEST(TakeOver, RunsOfAGoneRunnerStartAgainSoonAfterATakeOver) {
   const JobId job = Submit(Step(1, 8, Duration(4000)));
   system.Run(Duration(1000));
-  RunnerId gone;
+  RunnerId lost_runner;
   for (const RunnerId& id : system.RunnerIds()) {
     system.FindRunner(id)->ForEachRun(
-        [&](const dispatch::TaskName&, int) { gone = id; });
+        [&](const dispatch::TaskName&, int) { lost_runner = id; });
   }
-  system.KillRunner(gone, Duration(60000));
+  system.KillRunner(lost_runner, Duration(60000));
   system.KillNode(system.leader(), Duration(60000));
   system.Run(Duration(10000));
   LONGS_EQUAL(2, Watch(job).starts.begin()->second);
@@ -44,22 +45,22 @@
   CheckNoViolation();
 }
 
-// A gang of urgent work waited for 12 s for a runner that had left: a new
-// scheduler heard the runner at once, and yet went on to reckon with the 15.8 s
-// that a lease may last on one that was never heard.
+// A gang of urgent work used to wait 12 s for a runner that had left. The new
+// scheduler had polled the runner successfully, but still assumed the 15.8 s
+// that a lease may last on a runner that never answered.
 TEST(TakeOver, RunsOfARunnerThatGoesOnceHeardStartAgainSooner) {
   const JobId job = Submit(Step(1, 8, Duration(9000)));
   system.Run(Duration(1000));
   system.KillNode(system.leader(), Duration(60000));
   system.Run(Duration(3000));
-  RunnerId gone;
+  RunnerId lost_runner;
   for (const RunnerId& id : system.RunnerIds()) {
     system.FindRunner(id)->ForEachRun(
-        [&](const dispatch::TaskName&, int) { gone = id; });
+        [&](const dispatch::TaskName&, int) { lost_runner = id; });
   }
-  system.CrashRunner(gone, Duration(60000));
-  // The longest lease that a runner takes, on a slow clock, from when it was
-  // heard.
+  system.CrashRunner(lost_runner, Duration(60000));
+  // The longest lease that a runner accepts, on a slow clock, from its first
+  // answer.
   system.Run(Duration(9600));
   LONGS_EQUAL(2, Watch(job).starts.begin()->second);
   system.Run(Duration(10000));
@@ -83,29 +84,32 @@
   CheckNoViolation();
 }
 
-// A scheduler that stood still went on as if no time had passed: it sent what
-// had waited, and granted leases, before it learnt that another one schedules.
+// A scheduler used to continue after a pause of its process as if no time had
+// passed. It sent queued orders and granted leases before it learned that
+// another node had become the scheduler.
 TEST(TakeOver, SchedulerThatStoodStillActsOnNothingBeforeItsRightIsConfirmed) {
-  for (const int still_ms : {1600, 2500, 4000, 7000}) {
+  for (const int pause_ms : {1600, 2500, 4000, 7000}) {
     EmulatedSystem other{SystemOptions()};
     other.Run(Duration(3000));
     other.faults().order_time = Duration(300);
     SubmitTo(&other, Step(24, 1, Duration(8000)));
     other.Run(Duration(400));
-    other.FreezeNode(other.leader(), Duration(still_ms));
-    other.Run(Duration(still_ms + 500));
+    other.FreezeNode(other.leader(), Duration(pause_ms));
+    other.Run(Duration(pause_ms + 500));
     other.faults().store_answers_lost = 0.5;
     other.Run(Duration(3000));
     other.faults() = Faults();
     other.Run(Duration(20000));
-    for (const std::string& what : other.violations()) FAIL(what.c_str());
+    for (const std::string& violation : other.violations())
+      FAIL(violation.c_str());
     for (const auto& [id, watch] : other.jobs()) {
       STRCMP_EQUAL("done", other.StateOf(id).c_str());
     }
   }
 }
 
-// A take-over waited for every part of the store; meanwhile all leases ran out.
+// A take-over used to wait for every partition of the store, and all leases
+// expired meanwhile.
 TEST(TakeOver, RunsGoOnThroughATakeOverWithAPartOfTheStoreAway) {
   std::vector<JobId> jobs;
   for (int i = 0; i < 12; ++i) {
@@ -124,90 +128,92 @@
   CheckNoViolation();
 }
 
-// A runner that was heard and then cut off, with a run of a job that was only
-// read after that: its lease from the earlier scheduler was taken for over.
+// A runner answered and was then partitioned, and only afterwards a run on it
+// was read from the store. The lease from the previous scheduler was wrongly
+// taken for expired.
 TEST(TakeOver, RunThatIsLearntLateIsNotStartedElsewhereBesideItself) {
-  for (int cut_at = 2000; cut_at < 3600; cut_at += 100) {
-    EmulatedSystem late{SystemOptions()};
-    late.Run(Duration(3000));
+  for (int cut_off_at = 2000; cut_off_at < 3600; cut_off_at += 100) {
+    EmulatedSystem emulated{SystemOptions()};
+    emulated.Run(Duration(3000));
     dispatch::JobSpec spec;
     spec.steps = {Step(1, 8, Duration(20000))};
     spec.policy.priority = 1;
     TaskTruth truth;
     truth.work = Duration(20000);
-    const JobId job = late.Submit(spec, {truth});
-    late.Run(Duration(1000));
+    const JobId job = emulated.Submit(spec, {truth});
+    emulated.Run(Duration(1000));
     const RunnerId runner("i-4-1");
-    late.faults().parts_down = {dispatch::JobPartition(job.value())};
-    late.KillNode(late.leader(), Duration(500));
-    late.Run(Duration(cut_at));
-    late.faults().unreachable_runners = {runner};
-    late.Run(Duration(100));
-    late.faults().parts_down.clear();
-    late.Run(Duration(9000));
-    for (const std::string& what : late.violations()) FAIL(what.c_str());
+    emulated.faults().parts_down = {dispatch::JobPartition(job.value())};
+    emulated.KillNode(emulated.leader(), Duration(500));
+    emulated.Run(Duration(cut_off_at));
+    emulated.faults().unreachable_runners = {runner};
+    emulated.Run(Duration(100));
+    emulated.faults().parts_down.clear();
+    emulated.Run(Duration(9000));
+    for (const std::string& violation : emulated.violations())
+      FAIL(violation.c_str());
   }
 }
 
-// A runner that does not refuse by itself would be filled over its room by runs
-// beside those that are not known yet.
+// A runner that does not enforce its capacity would be overcommitted if it got
+// new runs before all of its current runs are known.
 TEST(TakeOver, UnguardedRunnersGetNothingWhileRunsAreNotKnown) {
   SystemOptions options;
   options.enforces_capacity = false;
-  EmulatedSystem open(options);
-  open.Run(Duration(3000));
-  const std::string away = dispatch::AllJobPartitions()[0];
-  open.faults().parts_down = {away};
-  open.KillNode(open.leader(), Duration(500));
-  open.Run(Duration(5000));
+  EmulatedSystem unguarded(options);
+  unguarded.Run(Duration(3000));
+  const std::string unavailable_partition = dispatch::AllJobPartitions()[0];
+  unguarded.faults().parts_down = {unavailable_partition};
+  unguarded.KillNode(unguarded.leader(), Duration(500));
+  unguarded.Run(Duration(5000));
   std::vector<JobId> jobs;
   for (int i = 0; i < 4; ++i) {
     dispatch::JobSpec spec;
     spec.steps = {Step(1, 1, Duration(300))};
     spec.policy.priority = 1;
-    jobs.push_back(open.Submit(spec, {TaskTruth()}));
+    jobs.push_back(unguarded.Submit(spec, {TaskTruth()}));
   }
-  open.Run(Duration(2000));
-  for (const JobId& job : jobs) CHECK_TRUE(open.jobs().at(job).starts.empty());
-  open.faults().parts_down.clear();
-  open.Run(Duration(5000));
+  unguarded.Run(Duration(2000));
+  for (const JobId& job : jobs)
+    CHECK_TRUE(unguarded.jobs().at(job).starts.empty());
+  unguarded.faults().parts_down.clear();
+  unguarded.Run(Duration(5000));
   for (const JobId& job : jobs) {
-    STRCMP_EQUAL("done", open.StateOf(job).c_str());
+    STRCMP_EQUAL("done", unguarded.StateOf(job).c_str());
   }
 }
 
-// Each look that listed a run of a closed job sent another stop for it. Beside
-// a start without an answer looks follow each other at once, so that hundreds
-// of stops a second filled the queue of orders to that runner, and all later
-// orders, the stops of cancelled jobs among them, waited behind them. A count
-// of the orders in the queue, which grew with each look, proved it.
+// Each poll that reported a run of a closed job used to send another stop for
+// it. While a start is unanswered, polls follow each other without delay, so
+// hundreds of stops a second filled the order queue of the runner. All later
+// orders, such as the stops of cancelled jobs, were delayed behind them.
 TEST(TakeOver, StopsOfRunsThatNobodyWaitsForDoNotHoldUpOtherOrders) {
   SystemOptions options;
   options.runners = 1;
-  EmulatedSystem one(options);
-  one.Run(Duration(3000));
-  const JobId closed = SubmitTo(&one, Step(4, 0, Duration(60000)));
-  one.Run(Duration(1000));
-  LONGS_EQUAL(4, one.jobs().at(closed).starts.size());
-  // The stops of the first scheduler come to nothing, and so do all orders for
-  // a while after the take-over.
-  one.faults().orders_lost = 1;
-  one.faults().late_order = Duration(60000);
-  one.Cancel(closed);
-  one.Run(Duration(300));
-  one.RemoveNode(one.leader());
-  SubmitTo(&one, Step(1, 0, Duration(60000)));
-  one.Run(Duration(16000));
-  one.faults() = Faults();
-  const JobId next = SubmitTo(&one, Step(1, 0, Duration(500)));
-  one.Run(Duration(3000));
-  STRCMP_EQUAL("done", one.StateOf(next).c_str());
-  LONGS_EQUAL(0, RacksOf(&one, closed).size());
+  EmulatedSystem single(options);
+  single.Run(Duration(3000));
+  const JobId closed = SubmitTo(&single, Step(4, 0, Duration(60000)));
+  single.Run(Duration(1000));
+  LONGS_EQUAL(4, single.jobs().at(closed).starts.size());
+  // The first scheduler's stops are lost, and so are all orders for a while
+  // after the take-over.
+  single.faults().orders_lost = 1;
+  single.faults().late_order = Duration(60000);
+  single.Cancel(closed);
+  single.Run(Duration(300));
+  single.RemoveNode(single.leader());
+  SubmitTo(&single, Step(1, 0, Duration(60000)));
+  single.Run(Duration(16000));
+  single.faults() = Faults();
+  const JobId next = SubmitTo(&single, Step(1, 0, Duration(500)));
+  single.Run(Duration(3000));
+  STRCMP_EQUAL("done", single.StateOf(next).c_str());
+  LONGS_EQUAL(0, RacksOf(&single, closed).size());
 }
 
-// A job stayed as running for good: its rows were read by a new scheduler after
-// the runner of its tasks had been replaced, and they were noted on the life
-// that was over, which nobody looked at any more. Found by random courses.
+// A job used to stay running indefinitely. A new scheduler read its rows after
+// the runner of its tasks had been replaced, and assigned the runs to the
+// previous incarnation, which is no longer polled.
 TEST(TakeOver, RunsThatAreReadAfterTheirRunnerWentStartAgain) {
   const JobId job = Submit(Step(1, 1, Duration(4000)));
   system.Run(Duration(1000));
