--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -54,9 +54,9 @@
   reading->call = ctx.NewTicket();
   const char* table =
       stage_ == Stage::kReadProgress ? kProgressTable : kJobTable;
-  ctx.Emit(ReadRows{reading->call, StoreLane::kParts, table, reading->partition,
-                    reading->next_key, "", options_.page_rows,
-                    patience_->For(reading->misses)});
+  ctx.Emit(ReadRows{reading->call, StoreLane::kJobPartitions, table,
+                    reading->partition, reading->next_key, "",
+                    options_.page_rows, patience_->For(reading->misses)});
 }
 
 void JobRegistry::Follow(Context& ctx) {
