--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Keeping in touch with runners.
+/// Polls runners and keeps the runner list up to date.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
   const auto found = runners_.find(incarnation.runner);
   if (found == runners_.end() || found->second->incarnation() != incarnation)
     return nullptr;
-  Touch(found->second.get());
+  MarkForReschedule(found->second.get());
   return found->second.get();
 }
 
@@ -27,10 +27,10 @@
 
 Runner* Fleet::StartIncarnation(Runner* before, StartTime start_time,
                                 TimePoint now) {
-  ForgetLooks(before);
+  DropReferences(before);
   std::unique_ptr<Runner>& place = runners_.at(before->id());
   place = before->Next(start_time, now);
-  Touch(place.get());
+  MarkForReschedule(place.get());
   return place.get();
 }
 
@@ -41,20 +41,20 @@
     info.id = incarnation.runner;
     info.start_time = incarnation.start_time;
     runner = (runners_[info.id] = std::make_unique<Runner>(info)).get();
-    Touch(runner);
+    MarkForReschedule(runner);
     runner->Unlist(now);
   }
   if (runner->heard()) {
-    runner->NoteEarlierLease(EarlierLeaseOf(*runner));
+    runner->RecordPreviousLease(PreviousLeaseOf(*runner));
   } else {
-    runner->LeaseMayLastUntil(now + (runner->listed()
-                                         ? options_.inherited_lease
-                                         : options_.inherited_lease_unlisted));
+    runner->AssumePreviousLeaseUntil(
+        now + (runner->listed() ? options_.previous_scheduler_lease
+                                : options_.previous_scheduler_lease_unlisted));
   }
   return runner;
 }
 
-Duration Fleet::EarlierLeaseOf(const Runner& runner) const {
+Duration Fleet::PreviousLeaseOf(const Runner& runner) const {
   const bool keeps_id = IsReported(runner.incarnation().start_time);
   return keeps_id ? options_.longest_lease : options_.run_lease;
 }
@@ -62,29 +62,29 @@
 void Fleet::HandleAnswer(Runner* runner, TimePoint now,
                          std::int64_t clock_ms) const {
   const bool first = !runner->heard();
-  runner->Heard(now, clock_ms);
-  // Its runs need not wait for what was assumed of an unheard one, should it go
-  // soon after a take-over.
-  if (first) runner->BoundEarlierLease(EarlierLeaseOf(*runner));
+  runner->RecordAnswer(now, clock_ms);
+  // If the runner is lost soon after a take-over, its runs need not wait for
+  // the longer lease that was assumed before its first answer.
+  if (first) runner->LimitPreviousLease(PreviousLeaseOf(*runner));
 }
 
-void Fleet::List(Context& ctx, const StoreTimeout& patience) {
-  if (list_under_way_ || ctx.now() < next_list_at_) return;
-  list_under_way_ = true;
+void Fleet::List(Context& ctx, const StoreTimeout& store_timeout) {
+  if (list_in_flight_ || ctx.now() < next_list_at_) return;
+  list_in_flight_ = true;
   list_sent_at_ = ctx.now();
   if (ctx.now() >= next_whole_list_at_) list_revision_ = Revision();
   ListRunners list;
   list.after = list_revision_;
   const bool snapshot = list_revision_ == Revision();
   if (!snapshot) list.wait = options_.list_interval;
-  list.timeout = patience.For(list_misses_) + list.wait;
+  list.timeout = store_timeout.For(failed_list_reads_) + list.wait;
   ctx.Emit(list);
 }
 
-void Fleet::MissList(TimePoint now) {
-  ++list_misses_;
-  // One that was lost with its connection is sent again at once.
-  if (list_misses_ == 1) {
+void Fleet::HandleFailedListRead(TimePoint now) {
+  ++failed_list_reads_;
+  // A read that was lost with its connection is repeated at once.
+  if (failed_list_reads_ == 1) {
     next_list_at_ = now;
     return;
   }
@@ -93,41 +93,42 @@
 }
 
 void Fleet::Handle(Context& ctx, const RunnersListed& answer) {
-  list_under_way_ = false;
-  const bool is_old = std::exchange(list_is_old_, false);
-  // An unreadable list says nothing of any runner.
+  list_in_flight_ = false;
+  const bool is_outdated = std::exchange(list_is_outdated_, false);
+  // A failed read says nothing about any runner.
   if (!answer.ok) {
     list_revision_ = Revision();
-    MissList(ctx.now());
+    HandleFailedListRead(ctx.now());
     return;
   }
-  NoteListRead(ctx.now(), answer);
-  rooms_read_at_ = is_old ? list_sent_at_ : ctx.now();
-  const std::set<RunnerId> removed = GoneBy(answer);
-  NoteUnreadable(ctx, answer);
+  RecordListRead(ctx.now(), answer);
+  capacities_read_at_ = is_outdated ? list_sent_at_ : ctx.now();
+  const std::set<RunnerId> removed = RemovedBy(answer);
+  LogUnreadable(ctx, answer);
   const std::size_t known_before = runners_.size();
-  for (const RunnerInfo& info : answer.runners) TakeEntry(ctx, info);
+  for (const RunnerInfo& info : answer.runners) ApplyEntry(ctx, info);
   for (auto& [id, runner] : runners_) {
     const bool missing = !runner->listed() || removed.count(id) != 0;
     if (missing) Unlist(ctx, runner.get());
   }
   FadeSlowness(ctx.now());
-  TellList(ctx, known_before);
+  LogListChanges(ctx, known_before);
   listed_once_ = true;
 }
 
-void Fleet::NoteListRead(TimePoint now, const RunnersListed& answer) {
-  list_misses_ = 0;
+void Fleet::RecordListRead(TimePoint now, const RunnersListed& answer) {
+  failed_list_reads_ = 0;
   next_list_at_ = now + options_.list_pause;
   list_revision_ = answer.newest;
   if (answer.snapshot) next_whole_list_at_ = now + options_.whole_list_interval;
-  const bool was_away = now - last_listed_at_ > options_.longest_list_gap;
-  if (was_away) store_back_at_ = now;
+  const bool store_was_unavailable =
+      now - last_listed_at_ > options_.max_list_gap;
+  if (store_was_unavailable) store_available_since_ = now;
   last_listed_at_ = now;
   if (!listed_once_) first_listed_at_ = now;
 }
 
-std::set<RunnerId> Fleet::GoneBy(const RunnersListed& answer) const {
+std::set<RunnerId> Fleet::RemovedBy(const RunnersListed& answer) const {
   std::set<RunnerId> removed(answer.removed.begin(), answer.removed.end());
   removed.insert(answer.unreadable.begin(), answer.unreadable.end());
   if (answer.snapshot) {
@@ -137,7 +138,7 @@
   return removed;
 }
 
-void Fleet::NoteUnreadable(Context& ctx, const RunnersListed& answer) {
+void Fleet::LogUnreadable(Context& ctx, const RunnersListed& answer) {
   const std::set<RunnerId> before = unreadable_;
   if (answer.snapshot) unreadable_.clear();
   for (const RunnerInfo& info : answer.runners) unreadable_.erase(info.id);
@@ -157,7 +158,7 @@
   }
 }
 
-void Fleet::TellList(Context& ctx, std::size_t known_before) {
+void Fleet::LogListChanges(Context& ctx, std::size_t known_before) {
   std::size_t missing = 0;
   for (const auto& [id, runner] : runners_) {
     if (!runner->listed()) ++missing;
@@ -177,8 +178,8 @@
   auto added = std::make_unique<Runner>(info);
   Runner* runner = added.get();
   runners_[info.id] = std::move(added);
-  Touch(runner);
-  // A new scheduler lists them all in one line.
+  MarkForReschedule(runner);
+  // A new scheduler logs one line for the whole list.
   if (listed_once_) {
     ctx.Log(LogId::kRunnerListed, {{"runner", info.id.value()},
                                    {"born", ToString(info.start_time)},
@@ -187,15 +188,16 @@
   return runner;
 }
 
-void Fleet::TakeEntry(Context& ctx, const RunnerInfo& info) {
+void Fleet::ApplyEntry(Context& ctx, const RunnerInfo& info) {
   Runner* runner = FindOrAdd(ctx, info);
-  // It lives after all.
+  // The runner is alive after all.
   const bool came_back = !runner->listed() && !runner->heard();
   if (came_back) {
-    runner->LeaseMayLastUntil(ctx.now() + options_.inherited_lease);
+    runner->AssumePreviousLeaseUntil(ctx.now() +
+                                     options_.previous_scheduler_lease);
   }
   if (info.start_time != runner->incarnation().start_time)
-    TakeHint(ctx, runner, info.start_time);
+    PollForNewIncarnation(ctx, runner, info.start_time);
   const bool drained = runner->draining_since().has_value();
   runner->Update(info, ctx.now());
   if (drained || !runner->draining_since().has_value()) return;
@@ -204,35 +206,38 @@
            {"leaves_in_ms", std::to_string(info.leaves_in.ms())}});
 }
 
-void Fleet::TakeHint(Context& ctx, Runner* runner, StartTime start_time) {
-  if (!IsReported(start_time) || runner->hinted == start_time) return;
-  runner->hinted = start_time;
+void Fleet::PollForNewIncarnation(Context& ctx, Runner* runner,
+                                  StartTime start_time) {
+  if (!IsReported(start_time) || runner->hinted_start_time == start_time)
+    return;
+  runner->hinted_start_time = start_time;
   ctx.Log(LogId::kRunnerHinted,
           {{"runner", runner->id().value()},
            {"born", ToString(start_time)},
            {"known", ToString(runner->incarnation().start_time)}});
-  // One that is under way may wait on a connection that is dead.
+  // A poll in flight may wait on a dead connection.
   runner->poll_in_flight = false;
   runner->ended = false;
   runner->next_poll_at = ctx.now();
 }
 
-bool Fleet::MayHaveLapsed(TimePoint now) const {
-  return now - store_back_at_ < options_.unlisted_grace;
+bool Fleet::MayHaveExpired(TimePoint now) const {
+  return now - store_available_since_ < options_.unlisted_grace;
 }
 
 void Fleet::Unlist(Context& ctx, Runner* runner) {
-  const bool lapsed = MayHaveLapsed(ctx.now());
+  const bool may_have_expired = MayHaveExpired(ctx.now());
   if (runner->listed()) {
     runner->Unlist(ctx.now());
     ctx.Log(LogId::kRunnerUnlisted,
             {{"runner", runner->id().value()},
-             {"taken_for", lapsed ? "lapsed" : "leaving"}});
+             {"taken_for", may_have_expired ? "lapsed" : "leaving"}});
   }
-  if (!lapsed) runner->MarkLeaving(ctx.now(), options_.unannounced_stay);
+  if (!may_have_expired)
+    runner->MarkLeaving(ctx.now(), options_.unannounced_drain_time);
 }
 
-Duration Fleet::WaitFor(const Runner& runner) const {
+Duration Fleet::PollWaitFor(const Runner& runner) const {
   if (runner.runs().empty()) return options_.idle_wait;
   Duration wait =
       runner.AllEndsAreAcknowledged() ? options_.busy_wait : Duration(0);
@@ -240,72 +245,76 @@
     const bool open = run.phase == RunPhase::kUnconfirmed ||
                       run.phase == RunPhase::kInherited;
     if (!open) continue;
-    wait = std::min(wait, run.stop.open() ? options_.doubt_wait : Duration(0));
+    wait = std::min(
+        wait, run.stop.open() ? options_.unconfirmed_run_wait : Duration(0));
   }
   return wait;
 }
 
-TimePoint Fleet::LookDueAt(const Runner& runner) const {
+TimePoint Fleet::PollDueAt(const Runner& runner) const {
   const bool quiet =
       runner.poll_in_flight || runner.ended || runner.info().address.empty();
   if (quiet) return kNever;
   if (runner.AllEndsAreAcknowledged()) return runner.next_poll_at;
-  // A look that does not tell newer ends as known would be answered at once.
+  // A poll that does not acknowledge the latest ends would be answered at
+  // once.
   return std::max(runner.next_poll_at,
                   runner.poll_sent_at + options_.unstored_end_wait);
 }
 
-void Fleet::Touch(Runner* runner) {
-  if (runner->filed_look.touched) return;
-  runner->filed_look.touched = true;
-  touched_.push_back(runner);
+void Fleet::MarkForReschedule(Runner* runner) {
+  if (runner->scheduled_poll.needs_reschedule) return;
+  runner->scheduled_poll.needs_reschedule = true;
+  to_reschedule_.push_back(runner);
 }
 
-void Fleet::ScheduleTouched() {
-  for (Runner* runner : touched_) {
-    runner->filed_look.touched = false;
+void Fleet::RescheduleMarked() {
+  for (Runner* runner : to_reschedule_) {
+    runner->scheduled_poll.needs_reschedule = false;
     Schedule(runner);
   }
-  touched_.clear();
+  to_reschedule_.clear();
 }
 
 void Fleet::Schedule(Runner* runner) {
   Unschedule(runner);
-  FiledLook& filed = runner->filed_look;
-  filed.first = !runner->heard();
-  filed.under_way_as_first = filed.first && runner->poll_in_flight;
-  if (filed.under_way_as_first) ++first_looks_;
-  const TimePoint at = LookDueAt(*runner);
-  if (at == kNever) return;
-  filed.at = at;
-  (filed.first ? first_look_times_ : polls_).insert({at, runner});
+  ScheduledPoll& scheduled = runner->scheduled_poll;
+  scheduled.first = !runner->heard();
+  scheduled.in_flight_as_first = scheduled.first && runner->poll_in_flight;
+  if (scheduled.in_flight_as_first) ++first_polls_in_flight_;
+  const TimePoint due_at = PollDueAt(*runner);
+  if (due_at == kNever) return;
+  scheduled.due_at = due_at;
+  (scheduled.first ? first_poll_times_ : poll_times_).insert({due_at, runner});
 }
 
 void Fleet::Unschedule(Runner* runner) {
-  FiledLook& filed = runner->filed_look;
-  if (filed.under_way_as_first) --first_looks_;
-  filed.under_way_as_first = false;
-  if (!filed.at.has_value()) return;
-  (filed.first ? first_look_times_ : polls_).erase({*filed.at, runner});
-  filed.at.reset();
+  ScheduledPoll& scheduled = runner->scheduled_poll;
+  if (scheduled.in_flight_as_first) --first_polls_in_flight_;
+  scheduled.in_flight_as_first = false;
+  if (!scheduled.due_at.has_value()) return;
+  (scheduled.first ? first_poll_times_ : poll_times_)
+      .erase({*scheduled.due_at, runner});
+  scheduled.due_at.reset();
 }
 
-void Fleet::ForgetLooks(Runner* runner) {
+void Fleet::DropReferences(Runner* runner) {
   Unschedule(runner);
-  touched_.erase(std::remove(touched_.begin(), touched_.end(), runner),
-                 touched_.end());
+  to_reschedule_.erase(
+      std::remove(to_reschedule_.begin(), to_reschedule_.end(), runner),
+      to_reschedule_.end());
 }
 
 std::vector<Runner*> Fleet::DueRunners(TimePoint now) const {
   std::vector<Runner*> due;
-  for (const LookTimes* times : {&polls_, &first_look_times_}) {
-    for (const auto& [at, runner] : *times) {
-      if (at > now) break;
+  for (const PollTimes* times : {&poll_times_, &first_poll_times_}) {
+    for (const auto& [due_at, runner] : *times) {
+      if (due_at > now) break;
       due.push_back(runner);
     }
   }
-  // Many that stay silent would otherwise take all places of first looks, and
-  // runs at runners that answer would lapse unseen.
+  // Otherwise many silent runners would take all slots for first polls, and the
+  // leases of runs on responsive runners would expire before they are polled.
   std::stable_partition(due.begin(), due.end(), [](const Runner* runner) {
     return runner->heard() || runner->misses() == 0;
   });
@@ -314,32 +323,33 @@
 
 void Fleet::Poll(Context& ctx, Epoch epoch, bool may_renew,
                  bool all_runs_known) {
-  ScheduleTouched();
+  RescheduleMarked();
   for (Runner* runner : DueRunners(ctx.now())) {
-    // The answer to another first look makes room for this one.
-    if (!runner->heard() && !MayLookForTheFirstTime()) continue;
-    LookAt(ctx, runner, epoch, may_renew, all_runs_known);
+    // This runner is polled once the answer to another first poll frees a slot.
+    if (!runner->heard() && !HasFreeFirstPollSlot()) continue;
+    SendPoll(ctx, runner, epoch, may_renew, all_runs_known);
     Schedule(runner);
   }
 }
 
-void Fleet::LookAt(Context& ctx, Runner* runner, Epoch epoch, bool may_renew,
-                   bool all_runs_known) {
+void Fleet::SendPoll(Context& ctx, Runner* runner, Epoch epoch, bool may_renew,
+                     bool all_runs_known) {
   PollRunner poll;
   poll.target = TargetOf(*runner, epoch);
-  poll.number = newest_look_ = newest_look_.Next();
-  // A look that is lost may be carried out late, by a next life that counts its
-  // ends anew. So ends are told as known once, to a life that was heard just
-  // now.
-  const bool tells =
+  poll.number = latest_poll_ = latest_poll_.Next();
+  // A poll without an answer may be carried out late, by a later incarnation
+  // whose end reports are numbered from 1 again. So each acknowledgement is
+  // sent once, and only to an incarnation that answered just now.
+  const bool acknowledges =
       runner->reachable() &&
       runner->AcknowledgedEnd() > runner->delivered_acknowledgement &&
-      ctx.now() - runner->heard_at() <= options_.tell_ends_within;
-  poll.acknowledged_end = tells ? runner->AcknowledgedEnd() : 0;
-  // A look at a silent runner may arrive unheard: renewing by it would put off
-  // for ever the moment at which its runs are surely over.
-  // An end that is told as known after the lease ran out is not taken as told.
-  // A runner may hold runs that are not known yet: they must not lapse.
+      ctx.now() - runner->heard_at() <= options_.max_acknowledgement_delay;
+  poll.acknowledged_end = acknowledges ? runner->AcknowledgedEnd() : 0;
+  // A poll to a silent runner may arrive although no answer comes back. If it
+  // renewed the lease, its runs might never count as certainly over. An
+  // acknowledgement that arrives after the lease expired is not accepted, so
+  // the lease is also renewed while ends are not acknowledged, and while the
+  // runner may hold runs that are not recorded here and must not expire.
   const bool leased = !runner->runs().empty() ||
                       !runner->AllEndsAreAcknowledged() || !all_runs_known;
   const bool renew = may_renew && runner->reachable() && leased &&
@@ -347,8 +357,9 @@
   if (renew) {
     poll.until_ms = runner->GrantLease(ctx.now(), options_.run_lease);
   }
-  // The first look tells the runner's clock, which a renewal needs.
-  poll.wait = runner->reachable() ? WaitFor(*runner) : Duration(0);
+  // The answer to the first poll reports the runner's clock, which a renewal
+  // needs.
+  poll.wait = runner->reachable() ? PollWaitFor(*runner) : Duration(0);
   runner->poll_in_flight = true;
   runner->poll_number = poll.number;
   runner->poll_grants_lease = renew;
@@ -359,12 +370,12 @@
 
 TimePoint Fleet::next_at() const {
   TimePoint next = next_list_at();
-  if (!polls_.empty()) next = std::min(next, polls_.begin()->first);
-  if (!first_look_times_.empty() && MayLookForTheFirstTime()) {
-    next = std::min(next, first_look_times_.begin()->first);
+  if (!poll_times_.empty()) next = std::min(next, poll_times_.begin()->first);
+  if (!first_poll_times_.empty() && HasFreeFirstPollSlot()) {
+    next = std::min(next, first_poll_times_.begin()->first);
   }
-  for (const Runner* runner : touched_) {
-    next = std::min(next, LookDueAt(*runner));
+  for (const Runner* runner : to_reschedule_) {
+    next = std::min(next, PollDueAt(*runner));
   }
   return next;
 }
@@ -373,36 +384,37 @@
   return {runner.incarnation(), runner.info().address, epoch};
 }
 
-bool Fleet::MayWork(const Runner& runner, TimePoint now) const {
+bool Fleet::AcceptsWork(const Runner& runner, TimePoint now) const {
   if (runner.ended || !runner.reachable()) return false;
   if (runner.draining_since().has_value()) return false;
   if (now < runner.backoff_until) return false;
-  return runner.listed() || MayHaveLapsed(now);
+  return runner.listed() || MayHaveExpired(now);
 }
 
 std::vector<Candidate> Fleet::Candidates(
     TimePoint now, const std::set<HallId>& drained_halls) const {
-  std::vector<Candidate> seats;
+  std::vector<Candidate> candidates;
   for (const auto& [id, runner] : runners_) {
-    if (!MayWork(*runner, now)) continue;
+    if (!AcceptsWork(*runner, now)) continue;
     if (drained_halls.count(runner->info().hall) != 0) continue;
-    Candidate seat;
-    seat.runner = runner.get();
-    seat.rack = runner->rack();
-    seat.room = runner->free_capacity();
-    seat.suspect = now < runner->suspect_until;
-    seat.may_fail_immediately = runner->MayFailImmediately(now);
-    seat.tried = runner->HasProbeRun();
-    seat.best_effort_runs = runner->CountSharing(Sharing::kBestEffort);
-    seat.latency_sensitive_runs =
+    Candidate candidate;
+    candidate.runner = runner.get();
+    candidate.rack = runner->rack();
+    candidate.room = runner->free_capacity();
+    candidate.suspect = now < runner->suspect_until;
+    candidate.may_fail_immediately = runner->MayFailImmediately(now);
+    candidate.tried = runner->HasProbeRun();
+    candidate.best_effort_runs = runner->CountSharing(Sharing::kBestEffort);
+    candidate.latency_sensitive_runs =
         runner->CountSharing(Sharing::kLatencySensitive);
     for (const auto& [name, run] : runner->runs()) {
-      if (run.stopping) seat.releasing += run.need;
-      if (IsOnProbation(run, options_.probation, now)) seat.on_probation = true;
+      if (run.stopping) candidate.releasing += run.need;
+      if (IsOnProbation(run, options_.probation, now))
+        candidate.on_probation = true;
     }
-    seats.push_back(std::move(seat));
+    candidates.push_back(std::move(candidate));
   }
-  return seats;
+  return candidates;
 }
 
 bool Fleet::KnowsFreeCapacity(TimePoint now) const {
@@ -425,7 +437,7 @@
       continue;
     }
     ctx.Log(LogId::kRunnerGone, {{"runner", runner.id().value()}});
-    ForgetLooks(it->second.get());
+    DropReferences(it->second.get());
     it = runners_.erase(it);
   }
 }
--- a/src/dispatch/incarnation.h
+++ b/src/dispatch/incarnation.h
@@ -1,5 +1,5 @@
 /// @file
-/// Names of the lives of runners.
+/// Identifiers of runner incarnations.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,19 +15,20 @@
 
 namespace limeledge::dispatch {
 
-/// When a life of a runner began, in Unix milliseconds by the runner's own time
-/// of day; 0 if it was not told. Times of day jump, so that a later life may
-/// tell an earlier time: births tell lives apart, and say nothing of their
-/// order.
+/// When an incarnation of a runner started, in Unix milliseconds on the
+/// runner's wall clock; 0 if it was not reported. Wall clocks may be set back,
+/// so a later incarnation may report an earlier time: start times distinguish
+/// incarnations but do not order them.
 using StartTime = Number<struct StartTimeTag>;
 
 inline constexpr bool IsReported(StartTime start_time) {
   return start_time != StartTime();
 }
 
-/// Names one life of a runner. A runner may start again under its id; its next
-/// life holds and knows nothing of the one before. Where the machine is meant
-/// whatever its life, a `RunnerId` names it.
+/// Identifies one incarnation of a runner: one run of its process. A runner may
+/// restart under its id; the next incarnation keeps none of the runs and none
+/// of the state of the previous one. A `RunnerId` alone identifies the machine,
+/// whatever its incarnation.
 ///
 /// Thread safety: a plain value; distinct objects may be used concurrently.
 struct IncarnationId {
@@ -35,8 +36,8 @@
   StartTime start_time;
 
   IncarnationId() = default;
-  IncarnationId(RunnerId id, StartTime birth)
-      : runner(std::move(id)), start_time(birth) {}
+  IncarnationId(RunnerId id, StartTime started)
+      : runner(std::move(id)), start_time(started) {}
 
   friend bool operator==(const IncarnationId& a, const IncarnationId& b) {
     return a.runner == b.runner && a.start_time == b.start_time;
@@ -49,7 +50,7 @@
   }
 };
 
-/// For logs: the birth as text; empty if it was not told. Thread-safe.
+/// For logs: the start time as text; empty if it was not reported. Thread-safe.
 std::string ToString(StartTime start_time);
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -1,6 +1,6 @@
 /// @file
-/// One life of a runner as the scheduler knows it: what runs there, how much
-/// room is left, and until when its lease may last.
+/// One incarnation of a runner as the scheduler sees it: its runs, its free
+/// capacity, and when its lease expires at the latest.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -27,8 +27,8 @@
 
 namespace limeledge::dispatch {
 
-/// What a runner says of itself in the list of runners. The list lags: its
-/// entry may tell of a life that is over, or of one that nobody has heard yet.
+/// A runner's entry in the runner list. The list lags: the entry may describe
+/// an incarnation that is over, or one that has not answered any call so far.
 struct RunnerInfo {
   RunnerId id;
   StartTime start_time;
@@ -39,33 +39,34 @@
   std::string address;
   HallId hall;
   Resources room;
-  /// All labels, the rack's among them.
+  /// All labels, including the rack label.
   std::set<std::string> labels;
   std::string rack;
   bool draining = false;
-  /// While it drains: the least time until it leaves.
+  /// While the runner drains: the minimum time until it leaves.
   Duration leaves_in;
 };
 
-/// Where a run on a runner stands.
+/// The phase of a run on a runner.
 enum class RunPhase {
-  /// Decided on, not yet stored.
+  /// Decided by the scheduler but not stored.
   kPlanned,
-  /// Stored; the start waits for its turn and was never sent.
+  /// Stored; its start is queued and was never sent.
   kStored,
-  /// The start is under way.
+  /// The start was sent and its answer is pending.
   kStarting,
-  /// The runner's next life refused the start.
+  /// The runner refused the start because it is a newer incarnation.
   kRefused,
-  /// The start got no answer; it may still be carried out.
+  /// The start got no answer and may still be carried out.
   kUnconfirmed,
-  /// Stored by an earlier scheduler; the runner was not heard yet.
+  /// Stored by a previous scheduler; the runner has not answered this one so
+  /// far.
   kInherited,
   kRunning,
 };
 
-/// Matches the answer to a look with the look.
-using PollNumber = Number<struct LookNumberTag>;
+/// Matches the answer to a poll with that poll.
+using PollNumber = Number<struct PollNumberTag>;
 
 /// True if no start of a run in that phase was ever sent.
 inline bool WasNeverSent(RunPhase phase) {
@@ -77,22 +78,25 @@
   return WasNeverSent(phase) || phase == RunPhase::kRefused;
 }
 
-/// A run's stop on its way, so that it is not sent again in vain: orders to one
-/// runner wait for each other.
+/// State of a stop order for a run. Orders to one runner are sent one at a
+/// time, so a stop is not sent again while an earlier one may still take
+/// effect.
 class StopRequest {
  public:
-  /// True if the stop may be sent, again after `patience` without effect.
-  bool IsDue(TimePoint now, Duration patience) const;
-  /// Has the stop sent when its turn comes, if it is due.
-  void Request(TimePoint now, Duration patience);
-  /// The stop waits for its turn.
+  /// True if the stop may be sent: first, or again `retry_after` after a stop
+  /// that had no effect.
+  bool IsDue(TimePoint now, Duration retry_after) const;
+  /// Queues the stop if it is due.
+  void Request(TimePoint now, Duration retry_after);
+  /// True while the stop is queued.
   bool queued() const { return wanted_; }
-  /// Notes that the stop is sent.
+  /// Records that the stop was sent.
   void Sent(TimePoint now);
-  /// Notes that the stop was answered. Without an answer it is due again.
+  /// Records the end of the call. A stop without an answer is due again at
+  /// once.
   void Answered(bool obeyed);
   bool in_flight() const { return in_flight_; }
-  /// The stop waits for its turn or for its answer.
+  /// True while the stop is queued or its answer is pending.
   bool open() const { return wanted_ || in_flight_; }
 
  private:
@@ -101,301 +105,321 @@
   std::optional<TimePoint> sent_at_;
 };
 
-/// A run that takes room on a runner.
+/// A run that takes capacity on a runner.
 struct Run {
   int number = 0;
-  /// Stored by an earlier scheduler: the life that it was started on, if it was
-  /// told. An earlier life's run is over unless this one lists it.
+  /// For runs stored by a previous scheduler: the incarnation on which the run
+  /// was started, if it was reported. A run of an earlier incarnation is over
+  /// unless the present one lists it.
   StartTime stored_incarnation;
   Resources need;
   RunPhase phase = RunPhase::kPlanned;
-  /// The run shall end; its stop was or is still to be sent.
+  /// The run must end; its stop was sent or still has to be.
   bool stopping = false;
   StopRequest stop;
-  /// The runner obeyed the stop: a run that was not there will not come.
+  /// The runner confirmed the stop, so a run that has not begun will not begin.
   bool stop_answered = false;
-  /// When its start was sent; nothing if an earlier scheduler sent it, or
-  /// nobody did yet.
+  /// When its start was sent; empty if it was not sent, or was sent by a
+  /// previous scheduler.
   std::optional<TimePoint> sent_at;
-  /// When the newest answer about the run came.
+  /// When the latest answer about the run arrived.
   TimePoint answered_at;
-  /// Expected length of the whole run.
+  /// Expected duration of the whole run.
   Duration expected;
   TimePoint assigned_at;
   TimePoint started_at;
   int percent = 0;
   /// When `percent` last changed.
   TimePoint progressed_at;
-  /// Where the newest measure of the run's pace began.
+  /// Where the latest measurement of the run's pace began.
   TimePoint pace_measured_from;
   int pace_percent = 0;
-  /// The run began from nothing, near its data: its time can be learnt from.
+  /// The run started from the beginning and near its data, so its duration can
+  /// be used for estimates.
   bool usable_for_estimates = false;
-  /// What the run shares its runner's processors with, and how.
+  /// Whether and how the run shares the runner's processors with other runs.
   Sharing sharing = Sharing::kNone;
-  /// Its task may be what crashed runners before.
+  /// Its task may have crashed runners before.
   bool suspect = false;
-  /// It went with an earlier life; its start may still come, and is ruled out.
+  /// The run was lost with an earlier incarnation. Its start may still arrive
+  /// and is being cancelled.
   bool counted_as_lost = false;
 };
 
-/// A runner that takes this much longer than expected counts as slow: tasks of
-/// a step differ by a factor of two, runners that turn slow take four times as
-/// long and more.
-inline constexpr double kSlowRunner = 2.2;
+/// A runner whose runs take this many times as long as expected counts as slow.
+/// Tasks of one step differ by a factor of two; runners that become slow take
+/// four times as long or more.
+inline constexpr double kSlowRunnerRatio = 2.2;
 
-/// A run that nobody waits for, and that a runner lists or may still begin.
+/// A run that no task needs any more, and that a runner lists or may still
+/// begin.
 struct OrphanedRun {
   StopRequest stop;
-  /// What it takes of the runner's room.
+  /// The capacity that the run takes on the runner.
   Resources need;
-  /// Its start was sent to a life before and may come late; it is kept until
-  /// the runner has obeyed the stop, which rules it out.
+  /// Its start was sent to an earlier incarnation and may arrive late. The
+  /// entry is kept until the runner confirms the stop, which cancels the start.
   bool may_start_late = false;
 };
 
-/// How long the run will still take, by its progress where it shows any. Safe
-/// from any thread.
+/// Estimates the remaining time of a run, from its progress if it reported any.
+/// Thread-safe.
 Duration TimeLeft(const Run& run, TimePoint now);
 
-/// How long the run was under way when its runner, silent since `silent_since`,
-/// was last heard; nothing if its start was not sent from here. Safe from any
-/// thread.
+/// How long a run had been under way when its runner, silent since
+/// `silent_since`, last answered; empty if this scheduler did not send the
+/// start. Thread-safe.
 std::optional<Duration> TimeUntilSilence(const Run& run,
                                          TimePoint silent_since);
 
 class Runner;
 
-/// True if an earlier scheduler stored the run for another life of the runner.
-/// Safe from any thread.
+/// True if a previous scheduler stored the run for another incarnation of the
+/// runner. Thread-safe.
 bool IsOfEarlierIncarnation(const Runner& runner, const Run& run);
 
-/// True if the run's task may crash its runners, and the run was not well for
-/// `probation` yet. Safe from any thread.
+/// True if the run's task may crash its runners and the run has not been
+/// healthy for `probation` so far. Thread-safe.
 bool IsOnProbation(const Run& run, Duration probation, TimePoint now);
 
-/// Where the fleet has a runner's next look.
-struct FiledLook {
-  /// When it is due; nothing if none is.
-  std::optional<TimePoint> at;
-  /// The runner was not heard yet.
+/// The position of a runner's next poll in the schedule of `Fleet`.
+struct ScheduledPoll {
+  /// When the poll is due; empty if none is scheduled.
+  std::optional<TimePoint> due_at;
+  /// The runner has not answered any call so far.
   bool first = false;
-  /// A first look is under way.
-  bool under_way_as_first = false;
-  /// The fleet is to file it anew.
-  bool touched = false;
+  /// The runner's first poll is in flight.
+  bool in_flight_as_first = false;
+  /// The fleet must compute the due time again.
+  bool needs_reschedule = false;
 };
 
-/// One life of a runner. Pure bookkeeping: it sends nothing. All that is known
-/// of a life goes with its object; only what `Next` names outlives it.
+/// One incarnation of a runner. Pure bookkeeping: it sends nothing. All state
+/// of an incarnation is dropped with its object, except for what `Next` hands
+/// over.
 ///
 /// Thread safety: none; use it from one thread.
 class Runner {
  public:
-  /// The life of which an entry tells; none was heard yet.
+  /// Creates the incarnation that a list entry describes; it has not answered
+  /// any call so far.
   explicit Runner(RunnerInfo info)
-      : info_(std::move(info)), life_(info_.incarnation()) {}
+      : info_(std::move(info)), incarnation_(info_.incarnation()) {}
 
-  /// The life that follows this one under its id: at the same place, of which
-  /// it keeps the entry, the number of lives and the orders that may come late.
+  /// Creates the next incarnation under the same id. It takes over the list
+  /// entry, the incarnation count and the late orders.
   std::unique_ptr<Runner> Next(StartTime start_time, TimePoint now);
 
   const RunnerInfo& info() const { return info_; }
   const RunnerId& id() const { return info_.id; }
-  const IncarnationId& incarnation() const { return life_; }
-  /// Lives that were seen under this id, this one included.
-  int incarnations() const { return lives_; }
+  const IncarnationId& incarnation() const { return incarnation_; }
+  /// Number of incarnations seen under this id, including this one.
+  int incarnations() const { return incarnation_count_; }
   const std::string& rack() const { return info_.rack; }
 
-  /// Takes over what the list says now.
+  /// Applies the present entry of the runner list.
   void Update(const RunnerInfo& info, TimePoint now);
-  /// The runner is no longer listed.
+  /// Records that the runner is no longer in the list.
   void Unlist(TimePoint now);
   bool listed() const { return listed_; }
   TimePoint unlisted_at() const { return unlisted_at_; }
-  /// Notes that the runner leaves, `leaves_in` from now at the earliest,
-  /// though its entry did not say so.
+  /// Records that the runner leaves, `leaves_in` from now at the earliest,
+  /// whether or not its entry says so.
   void MarkLeaving(TimePoint now, Duration leaves_in);
-  /// When the runner was first seen to leave; nothing while it does not.
-  std::optional<TimePoint> draining_since() const { return drains_since_; }
+  /// When the runner was first seen to be leaving; empty unless it is leaving.
+  std::optional<TimePoint> draining_since() const { return draining_since_; }
 
   std::map<TaskName, Run>& runs() { return runs_; }
   const std::map<TaskName, Run>& runs() const { return runs_; }
-  /// The run of that number of the task; null if there is none.
+  /// Finds the task's run with this number; null if there is none.
   Run* FindRun(const TaskName& name, int number);
   void Add(const TaskName& name, const Run& run);
   void Remove(const TaskName& name);
-  /// Runs here that share the processors in that way.
+  /// Number of runs here that share the processors in this way.
   int CountSharing(Sharing sharing) const;
-  /// Room that no run takes; negative where the room shrank under them.
-  const Resources& free_capacity() const { return free_room_; }
-  /// True if the run fits beside all that may be there now: what was started or
-  /// may still come, what is being stopped, and what nobody waits for.
+  /// Capacity that no run takes; negative where the capacity shrank below what
+  /// the runs take.
+  const Resources& free_capacity() const { return free_capacity_; }
+  /// True if the run fits beside everything that may occupy the runner: runs
+  /// that began or may still begin, runs that are being stopped, and orphaned
+  /// runs.
   bool HasCapacityFor(const Run& run) const;
 
-  /// Notes an answer of this life that carried the runner's clock.
-  void Heard(TimePoint now, std::int64_t clock_ms);
-  /// Notes a call that got no answer.
+  /// Records an answer of this incarnation that carried the runner's clock.
+  void RecordAnswer(TimePoint now, std::int64_t clock_ms);
+  /// Records a call without an answer.
   void RecordMiss(TimePoint now);
   bool heard() const { return heard_; }
-  /// When the newest answer came.
+  /// When the latest answer arrived.
   TimePoint heard_at() const { return heard_at_; }
-  /// True if the newest call was answered.
+  /// True if the latest call was answered.
   bool reachable() const { return heard_ && misses_ == 0; }
   int misses() const { return misses_; }
-  /// When the first of the calls that got no answer since then ended; nothing
-  /// while the newest call was answered.
+  /// When the first unanswered call since the latest answer ended; empty if the
+  /// latest call was answered.
   std::optional<TimePoint> silent_since() const { return silent_since_; }
-  /// True if the runner was known to leave before it fell silent.
+  /// True if the runner was known to be leaving before it became silent.
   bool LeftAsAnnounced() const;
 
-  /// The end of a lease of `length` from now on the runner's clock; notes that
-  /// it may be granted. Precondition: `heard()`.
+  /// Returns the end of a lease of `length` from now, on the runner's clock,
+  /// and records that the lease may be granted. Precondition: `heard()`.
   std::int64_t GrantLease(TimePoint now, Duration length);
-  /// From this moment no lease that was granted can last.
+  /// From this moment on every lease that was granted has expired.
   TimePoint lease_expires_at() const {
-    return std::max(lease_over_at_, inherited_until_);
+    return std::max(lease_expires_at_, previous_lease_until_);
   }
-  /// An earlier scheduler, which the runner obeyed until it was first heard,
-  /// may have granted a lease of `length` just before. Precondition: `heard()`.
-  void NoteEarlierLease(Duration length);
-  /// Calls that were meant for an earlier life may have granted, or may still
-  /// grant, all of `longest`: up to their latest arrival, or at `granted_at`.
+  /// Records that a previous scheduler may have granted a lease of `length`
+  /// just before the runner first answered this one; since then the runner
+  /// rejects the previous scheduler. Precondition: `heard()`.
+  void RecordPreviousLease(Duration length);
+  /// Records that calls meant for an earlier incarnation may have granted this
+  /// one a lease of `longest`, at `granted_at` or up to the latest arrival of a
+  /// late call.
   void RecordLateGrant(TimePoint granted_at, Duration longest);
-  /// An earlier scheduler, which the runner may still obey, may grant a lease
-  /// up to `at`.
-  void LeaseMayLastUntil(TimePoint at) { inherited_until_ = at; }
-  /// The same, now that the runner was heard and obeys that one no more: what
-  /// it granted lasted `longest` at most. Precondition: `heard()`.
-  void BoundEarlierLease(Duration longest);
-
-  // Orders: starts and stops, one at a time. What waits is kept here and
-  // chosen when its turn comes, by what is known then.
+  /// Records that a previous scheduler, which the runner may still obey, may
+  /// have granted a lease up to `at`.
+  void AssumePreviousLeaseUntil(TimePoint at) { previous_lease_until_ = at; }
+  /// Shortens that bound once the runner has answered and no longer obeys the
+  /// previous scheduler, whose leases lasted `longest` at most. Precondition:
+  /// `heard()`.
+  void LimitPreviousLease(Duration longest);
+
+  // Orders are starts and stops, sent one at a time. Queued orders are kept
+  // here, and the next one is chosen when it can be sent, from the state at
+  // that time.
   bool order_in_flight = false;
-  /// Stored runs whose start waits for its turn; some may be gone since.
+  /// Stored runs whose start is queued; some of them may be gone by now.
   std::deque<std::pair<TaskName, int>> waiting_starts;
 
-  /// Orders that got no answer, from any life under this id.
+  /// Orders without an answer, sent to any incarnation under this id.
   LateOrders late_orders;
 
-  // The exchange of what runs there.
+  // Polls: what runs on the runner, and which runs ended there.
   bool poll_in_flight = false;
-  /// The newest look; answers to others are dropped.
+  /// Number of the latest poll; answers to earlier polls are dropped.
   PollNumber poll_number;
-  /// It grants a lease.
+  /// True if the latest poll grants a lease.
   bool poll_grants_lease = false;
-  /// A birth that the entry told, for which the runner was looked at.
-  StartTime hinted;
-  /// How the fleet has filed the next look.
-  FiledLook filed_look;
+  /// Start time from the list entry because of which the runner was polled at
+  /// once.
+  StartTime hinted_start_time;
+  /// Position of the next poll in the schedule of `Fleet`.
+  ScheduledPoll scheduled_poll;
   TimePoint poll_sent_at;
   TimePoint next_poll_at;
-  /// Up to which end it tells the runner that all are known, and what the
-  /// runner was told so and answered.
+  /// The latest poll, and the polls that the runner has answered, acknowledge
+  /// end reports up to these numbers.
   std::int64_t poll_acknowledges = 0;
   std::int64_t delivered_acknowledgement = 0;
-  /// Newest end that was taken in.
+  /// Number of the latest end report that was processed.
   std::int64_t newest_end = 0;
-  /// Newest end by a lease that ran out: it ran out after all ends before.
+  /// Number of the latest end report of a run whose lease expired; the lease
+  /// expired after all earlier ends.
   std::int64_t newest_expired_end = 0;
-  /// Ends that were taken in and are not stored yet.
+  /// End reports that were processed but are not stored so far.
   std::set<std::int64_t> unstored_ends;
-  /// Ends up to this number need not be told again: they are stored, and none
-  /// is held.
+  /// The runner need not repeat end reports up to this number: they are stored,
+  /// and no acknowledgement up to it is deferred.
   std::int64_t AcknowledgedEnd() const;
   bool AllEndsAreAcknowledged() const {
-    return unstored_ends.empty() && held_ends_.empty();
+    return unstored_ends.empty() && deferred_ends_.empty();
   }
-  /// Runs that were taken for over though no end of them was told. This life
-  /// may tell one yet.
+  /// Runs that were presumed over although no end was reported for them. This
+  /// incarnation may still report one.
   std::set<RunKey> presumed_over;
-  /// Keeps an end from being told as known until this life's lease has surely
-  /// run out since: `lease` is the longest that is granted. Until then nothing
-  /// may be granted. Returns when that is.
+  /// Defers the acknowledgement of an end report until the lease of this
+  /// incarnation, granted for `lease` at most, has certainly expired. Until
+  /// then no lease may be granted. Returns when that is.
   TimePoint DeferAcknowledgement(std::int64_t number, TimePoint now,
                                  Duration lease);
-  /// Lets ends be told as known again once the lease has run out.
+  /// Allows the deferred acknowledgements once the lease has expired.
   void ReleaseDeferredAcknowledgements(TimePoint now);
-  /// False while the lease is to run out.
+  /// False while a deferred acknowledgement waits for the lease to expire.
   bool MayGrantLease(TimePoint now) const { return now >= no_grant_until_; }
-  /// Runs that the runner listed and that nobody waits for.
-  std::map<RunKey, OrphanedRun>& orphans() { return unwanted_; }
-  /// Notes a run that nobody waits for; it takes `need` until it is forgotten.
+  /// Runs that the runner listed, or may still begin, and that no task needs.
+  std::map<RunKey, OrphanedRun>& orphans() { return orphans_; }
+  /// Adds an orphaned run, which takes `need` until it is removed.
   OrphanedRun& AddOrphan(const RunKey& key, const Resources& need);
-  /// Forgets those that are not among `there` any more.
+  /// Removes the orphaned runs that are not in `there`, except those that may
+  /// start late or have a stop in flight.
   void RemoveOrphansExcept(const std::set<RunKey>& there);
-  /// Nothing is placed here before this moment.
+  /// No task is placed here before this moment.
   TimePoint backoff_until;
-  /// A run failed here, and none was done since: others are used first until
-  /// then.
+  /// A run failed here and none has succeeded since; until this moment other
+  /// runners are preferred.
   TimePoint suspect_until;
-  /// When the newest run that failed here ended.
+  /// When the latest failed run ended here.
   TimePoint failed_at;
-  /// It failed as soon as it had begun, and none was done since.
+  /// That run failed immediately after its start, and none has succeeded since.
   bool failed_immediately = false;
-  /// True while it may still fail all that it starts: no run that began since
-  /// has been well for long enough to tell.
+  /// True while the runner may still fail every run that it starts: no run that
+  /// began after the failure has been healthy for long enough to rule it out.
   bool MayFailImmediately(TimePoint now) const;
-  /// True if a run that was assigned since tries that.
+  /// True if a run that was assigned after the failure probes the runner.
   bool HasProbeRun() const;
-  /// Runs that failed one after the other: quickly, or of different jobs.
+  /// Consecutive failures that were quick or of different jobs.
   int consecutive_failures = 0;
   JobId last_failed_job;
   /// When the runner leaves at the earliest, while it drains.
   TimePoint leaves_at;
-  /// Takes in that the pace of a run of `job` made it take `ratio` times as
-  /// long as expected.
+  /// Updates the slowness with a measurement: at its present pace a run of
+  /// `job` takes `ratio` times as long as expected.
   void RecordPace(double ratio, const JobId& job);
-  /// Time of runs here against their expected time; 1 for as expected.
+  /// Actual durations of runs here relative to expected ones; 1 means as
+  /// expected.
   double slowness() const { return slowness_; }
-  /// Lets a suspicion of slowness fade by what a second does to it.
+  /// Moves the slowness one step towards normal; called once per list interval.
   void FadeSlowness();
-  bool IsSlow() const { return slowness_ >= kSlowRunner; }
-  /// True if the runner counts as slow by what other jobs showed. A run whose
-  /// length was guessed too short is as slow anywhere.
+  bool IsSlow() const { return slowness_ >= kSlowRunnerRatio; }
+  /// True if the runner counts as slow because of other jobs than `job`. A run
+  /// whose duration was estimated too short is as slow on every runner.
   bool IsSlowExcluding(const JobId& job) const;
-  /// Takes in that a run here takes `ratio` times as long as its step's runs
-  /// elsewhere.
+  /// Updates the usual pace: a run here takes `ratio` times as long as the runs
+  /// of its step on other runners.
   void RecordUsualPace(double ratio);
-  /// How much longer runs usually take here than elsewhere, slowly learnt.
+  /// Durations of runs here relative to other runners, as a long-term average.
   double usual_pace() const;
-  /// All that ran in this life is over.
+  /// All runs of this incarnation are over.
   bool ended = false;
 
  private:
-  /// True if an entry's word on leaving is this life's.
-  bool IsOwn(const RunnerInfo& info) const {
-    return !IsReported(info.start_time) || info.start_time == life_.start_time;
+  /// True if what the entry says about draining applies to this incarnation.
+  bool DescribesThisIncarnation(const RunnerInfo& info) const {
+    return !IsReported(info.start_time) ||
+           info.start_time == incarnation_.start_time;
   }
 
   RunnerInfo info_;
-  IncarnationId life_;
-  int lives_ = 1;
+  IncarnationId incarnation_;
+  int incarnation_count_ = 1;
   bool listed_ = true;
   TimePoint unlisted_at_;
-  std::optional<TimePoint> drains_since_;
+  std::optional<TimePoint> draining_since_;
   std::map<TaskName, Run> runs_;
-  std::map<RunKey, OrphanedRun> unwanted_;
-  Resources free_room_ = info_.room;
+  std::map<RunKey, OrphanedRun> orphans_;
+  Resources free_capacity_ = info_.room;
   std::map<Sharing, int> sharing_;
   double slowness_ = 1;
-  /// The job whose runs told the newest paces, and the slowness before them.
+  /// The job that the latest measurements of the pace are from, and the
+  /// slowness before them.
   JobId pace_job_;
   double slowness_before_ = 1;
   /// Logarithm of the usual pace.
   double usual_pace_ = 0;
   bool heard_ = false;
-  /// When the runner was first heard, and so obeys no earlier scheduler.
-  TimePoint obeys_since_;
+  /// When the runner first answered; from then on it obeys no previous
+  /// scheduler.
+  TimePoint first_answer_at_;
   int misses_ = 0;
   std::optional<TimePoint> silent_since_;
   TimePoint heard_at_;
   std::int64_t heard_clock_ms_ = 0;
-  /// What was granted from here, or may have been to the life before.
-  TimePoint lease_over_at_;
-  /// What an earlier scheduler may have granted.
-  TimePoint inherited_until_;
-  std::set<std::int64_t> held_ends_;
+  /// Latest expiry of leases that this scheduler granted, or that calls meant
+  /// for an earlier incarnation may have granted.
+  TimePoint lease_expires_at_;
+  /// Latest expiry of leases that a previous scheduler may have granted.
+  TimePoint previous_lease_until_;
+  std::set<std::int64_t> deferred_ends_;
   TimePoint no_grant_until_;
 };
 
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of keeping in touch with runners.
+/// Tests of the runner list and of polling runners.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,7 +17,7 @@
 
 TEST_GROUP(Fleet) {
   Fleet fleet{FleetOptions()};
-  StoreTimeout patience;
+  StoreTimeout store_timeout;
   Ticket tickets;
   Effects effects;
   TimePoint now{1000};
@@ -41,13 +41,13 @@
     return fleet.Find(info.incarnation());
   }
 
-  /// A listed runner on which an earlier scheduler started a run.
+  /// Adds a listed runner on which a previous scheduler started a run.
   Runner* Inherit(const char* id, StartTime start_time) {
     AddRunner(id, start_time);
     return fleet.FindOrInherit({RunnerId(id), start_time}, now);
   }
 
-  /// The list is read and names nobody.
+  /// Delivers a list that contains no runner.
   void ListNone() {
     RunnersListed none;
     none.ok = true;
@@ -62,21 +62,21 @@
     runner->Add({JobId("00000000000000aa"), 0, 0, 0}, run);
   }
 
-  /// The reading of the list that is due, if one is.
+  /// Returns the list request that is due, if any.
   std::optional<ListRunners> List() {
     Context ctx = NewContext();
-    fleet.List(ctx, patience);
+    fleet.List(ctx, store_timeout);
     if (effects.empty()) return std::nullopt;
     return std::get<ListRunners>(effects.front());
   }
 
-  /// The reading under way came to nothing.
+  /// Makes the list request in flight fail.
   void LoseList() {
     Context ctx = NewContext();
     fleet.Handle(ctx, RunnersListed());
   }
 
-  /// The look at the runner got no answer; the next one is due after a pause.
+  /// The poll in flight gets no answer; the next one is due after a pause.
   void LosePoll(Runner * runner) {
     runner->poll_in_flight = false;
     runner->RecordMiss(now);
@@ -87,7 +87,7 @@
   }
 
   std::optional<PollRunner> Poll() {
-    // As the scheduler does for each runner that an event is about.
+    // The scheduler does this for each runner that an event concerns.
     for (auto& [id, runner] : fleet.runners()) fleet.FindPresent(id);
     Context ctx = NewContext();
     fleet.Poll(ctx, Epoch(1), true, true);
@@ -98,9 +98,9 @@
   }
 };
 
-// A new scheduler whose first reading of the list went out on a connection that
-// had fallen silent did nothing for two seconds.
-TEST(Fleet, ListThatIsLostIsReadAgainAtOnce) {
+// Guards against a new scheduler that stays idle for two seconds because its
+// first list request was sent on a dead connection.
+TEST(Fleet, LostListRequestIsRepeatedAtOnce) {
   const std::optional<ListRunners> first = List();
   CHECK_TRUE(first->timeout < Duration(500));
   now = now + first->timeout;
@@ -108,7 +108,7 @@
   CHECK_TRUE(List().has_value());
 }
 
-TEST(Fleet, ListThatIsLostTwiceIsWaitedForLongerAndReadAfterAPause) {
+TEST(Fleet, SecondLostListRequestGetsALongerTimeoutAndAPause) {
   const Duration first = List()->timeout;
   LoseList();
   CHECK_TRUE(List()->timeout > first);
@@ -118,35 +118,36 @@
   CHECK_TRUE(List().has_value());
 }
 
-// A new scheduler displaced runs for room that others were about to show.
-TEST(Fleet, RoomIsKnownOnceEachListedRunnerAnsweredOrMissed) {
+// Guards against a new scheduler that preempts runs for capacity that other
+// runners are about to report as free.
+TEST(Fleet, FreeCapacityIsKnownOnceEachListedRunnerAnsweredOrMissed) {
   Runner* runner = AddRunner("i-1");
   CHECK_FALSE(fleet.KnowsFreeCapacity(now));
   runner->RecordMiss(now);
   CHECK_TRUE(fleet.KnowsFreeCapacity(now));
 }
 
-TEST(Fleet, RoomCountsAsKnownWhenFirstAnswersTakeLong) {
+TEST(Fleet, FreeCapacityCountsAsKnownWhenFirstAnswersTakeLong) {
   AddRunner("i-1");
   now = now + FleetOptions().first_answers;
   CHECK_TRUE(fleet.KnowsFreeCapacity(now));
 }
 
-TEST(Fleet, LookAtAnsweringRunnerRenewsItsLease) {
+TEST(Fleet, PollOfResponsiveRunnerRenewsItsLease) {
   Runner* runner = AddRunner("i-1");
   AddRun(runner);
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   const std::optional<PollRunner> poll = Poll();
   CHECK_TRUE(poll.has_value());
   LONGS_EQUAL(500000 + FleetOptions().run_lease.ms(), poll->until_ms);
 }
 
-// A runner that was gone for good was looked at with a renewal again and
-// again, and its tasks were never started elsewhere.
-TEST(Fleet, LookAtSilentRunnerDoesNotPutOffTheEndOfItsLease) {
+// Guards against polls that keep renewing the lease of a runner that is gone,
+// so that its tasks are never restarted elsewhere.
+TEST(Fleet, PollOfSilentRunnerDoesNotExtendItsLease) {
   Runner* runner = AddRunner("i-1");
   AddRun(runner);
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   CHECK_TRUE(Poll().has_value());
   const TimePoint over = runner->lease_expires_at();
   runner->poll_in_flight = false;
@@ -158,10 +159,10 @@
   CHECK_TRUE(over == runner->lease_expires_at());
 }
 
-TEST(Fleet, FirstLooksAreSpreadAndTheRestWaitsForAnswers) {
+TEST(Fleet, FirstPollsInFlightAreLimited) {
   RunnersListed listed;
   listed.ok = true;
-  const int all = FleetOptions().first_polls + 5;
+  const int all = FleetOptions().max_first_polls + 5;
   for (int i = 0; i < all; ++i) {
     RunnerInfo info;
     info.id = RunnerId("i-" + std::to_string(i));
@@ -172,26 +173,26 @@
   fleet.Handle(ctx, listed);
   Context first = NewContext();
   fleet.Poll(first, Epoch(1), true, true);
-  LONGS_EQUAL(FleetOptions().first_polls, effects.size());
+  LONGS_EQUAL(FleetOptions().max_first_polls, effects.size());
   CHECK_TRUE(fleet.next_at() > now);
   const auto* poll = std::get_if<PollRunner>(&effects.front());
   Runner* answered = fleet.Find(poll->target.incarnation);
   answered->poll_in_flight = false;
-  answered->Heard(now, 1000);
+  answered->RecordAnswer(now, 1000);
   answered->next_poll_at = now + Duration(500);
   Context second = NewContext();
   fleet.Poll(second, Epoch(1), true, true);
   LONGS_EQUAL(1, effects.size());
 }
 
-TEST(Fleet, RunnerThatWasNeverHeardGetsNoWork) {
+TEST(Fleet, RunnerThatNeverAnsweredGetsNoWork) {
   AddRunner("i-1");
   CHECK_TRUE(fleet.Candidates(now).empty());
 }
 
 TEST(Fleet, DrainingRunnerGetsNoWork) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   LONGS_EQUAL(1, fleet.Candidates(now).size());
   RunnerInfo info = runner->info();
   info.draining = true;
@@ -199,9 +200,9 @@
   CHECK_TRUE(fleet.Candidates(now).empty());
 }
 
-TEST(Fleet, RunnerThatLapsedWhileTheStoreWasAwayIsUsedForAGraceAndThenNot) {
+TEST(Fleet, RunnerWhoseEntryExpiredInAStoreOutageIsUsedForAGracePeriod) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   now = now + Duration(6000);
   ListNone();
   LONGS_EQUAL(1, fleet.Candidates(now).size());
@@ -209,9 +210,9 @@
   LONGS_EQUAL(0, fleet.Candidates(now + FleetOptions().unlisted_grace).size());
 }
 
-TEST(Fleet, RunnerThatDidNotComeBackAfterTheStoreDidIsTakenForLeaving) {
+TEST(Fleet, RunnerThatStaysUnlistedAfterAStoreOutageIsMarkedLeaving) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   now = now + Duration(6000);
   for (int i = 0; i < 4; ++i) {
     ListNone();
@@ -220,10 +221,10 @@
   CHECK_TRUE(runner->draining_since().has_value());
 }
 
-// Runners may leave without ever saying so: their entry just goes.
-TEST(Fleet, RunnerWhoseEntryGoesWhileTheStoreIsThereGetsNoWork) {
+// Runners may leave without announcement: their entry is just removed.
+TEST(Fleet, RunnerWhoseEntryIsRemovedWhileTheStoreIsAvailableGetsNoWork) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   for (int i = 0; i < 3; ++i) {
     now = now + FleetOptions().list_interval;
     AddRunner("i-1");
@@ -232,12 +233,12 @@
   ListNone();
   LONGS_EQUAL(0, fleet.Candidates(now).size());
   CHECK_TRUE(runner->draining_since().has_value());
-  CHECK_TRUE(runner->leaves_at == now + FleetOptions().unannounced_stay);
+  CHECK_TRUE(runner->leaves_at == now + FleetOptions().unannounced_drain_time);
 }
 
 TEST(Fleet, RunnerThatIsListedAgainGetsWorkAgain) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   now = now + Duration(4000);
   ListNone();
   now = now + Duration(4000);
@@ -246,14 +247,14 @@
   LONGS_EQUAL(1, fleet.Candidates(now).size());
 }
 
-TEST(Fleet, UnreadableListSaysNothingOfRunners) {
+TEST(Fleet, FailedListReadChangesNoRunner) {
   Runner* runner = AddRunner("i-1");
   Context ctx = NewContext();
   fleet.Handle(ctx, RunnersListed());
   CHECK_TRUE(runner->listed());
 }
 
-TEST(Fleet, UnreadableEntryIsToldOnce) {
+TEST(Fleet, UnreadableEntryIsLoggedOnce) {
   RunnersListed listed;
   listed.ok = true;
   listed.unreadable = {RunnerId("i-9")};
@@ -265,11 +266,10 @@
   LONGS_EQUAL(0, effects.size());
 }
 
-// A new scheduler that knew a hundred silent runners looked at these again and
-// again: they took all places of first looks, and runners behind them in the
-// order of their ids were not looked at, until the last of what ran there was
-// over. The ids of the looks that were sent proved it.
-TEST(Fleet, RunnersThatWereNeverLookedAtGoBeforeSilentOnes) {
+// Guards against a new scheduler that keeps polling a hundred silent runners.
+// They took all slots for first polls, and runners with greater ids were not
+// polled until all their runs had expired.
+TEST(Fleet, RunnersThatWereNeverPolledComeBeforeSilentOnes) {
   constexpr int kSilent = 100;
   RunnersListed listed;
   listed.ok = true;
@@ -287,7 +287,7 @@
   for (int round = 0; round < kRounds; ++round) {
     Context polls = NewContext();
     fleet.Poll(polls, Epoch(1), true, true);
-    // So long takes a look without an answer.
+    // A poll without an answer takes this long.
     now = now + Duration(500);
     for (const Effect& effect : effects) {
       const IncarnationId id = std::get<PollRunner>(effect).target.incarnation;
@@ -298,7 +298,7 @@
   CHECK_TRUE(last_polled);
 }
 
-TEST(Fleet, StopIsSentOneAtATimeAndAgainWithoutEffect) {
+TEST(Fleet, StopIsSentOneAtATimeAndRepeatedWithoutEffect) {
   const Duration again_after(1500);
   StopRequest stop;
   CHECK_TRUE(stop.IsDue(now, again_after));
@@ -316,24 +316,24 @@
   CHECK_TRUE(stop.IsDue(now, Duration(1500)));
 }
 
-TEST(Fleet, LookWaitsALittleWhileAStopMustSettleARunInDoubt) {
+TEST(Fleet, PollWaitsBrieflyWhileAStopMustResolveAnUnconfirmedRun) {
   Runner* runner = AddRunner("i-1");
   AddRun(runner);
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   Run& run = runner->runs().begin()->second;
   run.phase = RunPhase::kUnconfirmed;
   LONGS_EQUAL(0, Poll()->wait.ms());
   runner->poll_in_flight = false;
   run.stop.Sent(now);
-  LONGS_EQUAL(FleetOptions().doubt_wait.ms(), Poll()->wait.ms());
+  LONGS_EQUAL(FleetOptions().unconfirmed_run_wait.ms(), Poll()->wait.ms());
   runner->poll_in_flight = false;
   run.stop.Answered(true);
   LONGS_EQUAL(0, Poll()->wait.ms());
 }
 
-TEST(Fleet, EntryOfAnotherLifeHasTheRunnerLookedAtOverALookThatWaits) {
+TEST(Fleet, EntryOfAnotherIncarnationCausesAPollDespiteOneInFlight) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   CHECK_TRUE(Poll().has_value());
   CHECK_FALSE(Poll().has_value());
   RunnersListed listed;
@@ -344,19 +344,19 @@
   fleet.Handle(ctx, listed);
   const auto poll = Poll();
   CHECK_TRUE(poll.has_value());
-  // The list alone ends no life.
+  // The list alone does not end an incarnation.
   CHECK_TRUE(poll->target.incarnation ==
              IncarnationId(RunnerId("i-1"), StartTime()));
   CHECK_TRUE(runner->reachable());
-  // Once is enough: the entry may be old.
+  // One extra poll is enough, since the entry may be outdated.
   Context again = NewContext();
   fleet.Handle(again, listed);
   CHECK_FALSE(Poll().has_value());
 }
 
-TEST(Fleet, NextLifeKeepsNothingOfTheOneBeforeButItsPlace) {
+TEST(Fleet, NextIncarnationTakesOverOnlyTheListEntry) {
   Runner* before = AddRunner("i-1");
-  before->Heard(now, 500000);
+  before->RecordAnswer(now, 500000);
   AddRun(before);
   before->newest_end = 7;
   before->delivered_acknowledgement = 7;
@@ -389,33 +389,33 @@
   CHECK_TRUE(next->lease_expires_at() <= now);
 }
 
-TEST(Fleet, EndsAreToldAsKnownOnceAndToALifeThatWasHeardJustNow) {
+TEST(Fleet, EndsAreAcknowledgedOnceAndOnlyToAnIncarnationThatJustAnswered) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   runner->newest_end = 4;
-  now = now + FleetOptions().tell_ends_within + Duration(1);
+  now = now + FleetOptions().max_acknowledgement_delay + Duration(1);
   LONGS_EQUAL(0, Poll()->acknowledged_end);
   runner->poll_in_flight = false;
-  runner->Heard(now, 500101);
+  runner->RecordAnswer(now, 500101);
   LONGS_EQUAL(4, Poll()->acknowledged_end);
   runner->poll_in_flight = false;
   runner->delivered_acknowledgement = 4;
-  runner->Heard(now, 500101);
+  runner->RecordAnswer(now, 500101);
   LONGS_EQUAL(0, Poll()->acknowledged_end);
 }
 
-TEST(Fleet, SilentRunnerIsToldNoEndAsKnown) {
+TEST(Fleet, NoEndIsAcknowledgedToASilentRunner) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 500000);
+  runner->RecordAnswer(now, 500000);
   runner->newest_end = 4;
   LosePoll(runner);
   now = runner->next_poll_at;
   LONGS_EQUAL(0, Poll()->acknowledged_end);
 }
 
-TEST(Fleet, HeldEndIsToldAsKnownOnlyOnceTheLeaseRanOut) {
+TEST(Fleet, DeferredEndIsAcknowledgedOnceTheLeaseExpired) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 1);
+  runner->RecordAnswer(now, 1);
   runner->newest_end = 4;
   const Duration lease = FleetOptions().run_lease;
   const TimePoint until = runner->DeferAcknowledgement(3, now, lease);
@@ -425,42 +425,44 @@
   LONGS_EQUAL(0, held->until_ms);
   runner->poll_in_flight = false;
   now = until;
-  runner->Heard(now, until.ms());
+  runner->RecordAnswer(now, until.ms());
   runner->ReleaseDeferredAcknowledgements(now);
   LONGS_EQUAL(4, Poll()->acknowledged_end);
 }
 
-TEST(Fleet, HeldEndWaitsForARenewalThatMayStillCome) {
+TEST(Fleet, DeferredAcknowledgementWaitsForALateRenewal) {
   Runner* runner = AddRunner("i-1");
-  runner->Heard(now, 1);
+  runner->RecordAnswer(now, 1);
   constexpr Duration kLate{12500};
   runner->late_orders.RecordGrant(now + kLate);
   const Duration lease = FleetOptions().run_lease;
   CHECK_TRUE(runner->DeferAcknowledgement(1, now, lease) > now + kLate + lease);
 }
 
-TEST(Fleet, LeaseOfAnEarlierSchedulerIsBoundedOnceItsRunnerIsHeard) {
+TEST(Fleet, LeaseOfAPreviousSchedulerIsBoundedOnceItsRunnerAnswers) {
   Runner* runner = Inherit("i-1", StartTime());
   const TimePoint unheard = runner->lease_expires_at();
   now = now + Duration(50);
   fleet.HandleAnswer(runner, now, 500);
   CHECK_TRUE(runner->lease_expires_at() < unheard);
-  // No lease of 5 s on a clock 2% slow lasts longer, and some lease may.
+  // A lease of 5 s on a clock that runs 2% slow lasts up to 5.1 s.
   CHECK_TRUE(runner->lease_expires_at() >= now + Duration(5100));
   CHECK_TRUE(runner->lease_expires_at() <= now + Duration(5500));
 }
 
-// A late call to the life before may have granted all that a runner takes.
+// A late call to the previous incarnation may have granted the longest lease
+// that a runner accepts.
 TEST(Fleet,
-     LeaseOfAnEarlierSchedulerIsBoundedByTheLongestOnRunnersThatKeepIds) {
+     LeaseOfAPreviousSchedulerIsBoundedByTheLongestOnRunnersThatKeepIds) {
   Runner* runner = Inherit("i-1", StartTime(1700000000000));
   fleet.HandleAnswer(runner, now, 500);
   CHECK_TRUE(runner->lease_expires_at() >= now + Duration(10200));
   CHECK_TRUE(runner->lease_expires_at() <= now + Duration(10800));
 }
 
-// Hearing a life again says nothing of what a call to the life before granted.
-TEST(Fleet, ForeignGrantOutlastsTheFirstAnswerOfALife) {
+// The first answer of an incarnation says nothing about the lease that a call
+// to the previous incarnation granted.
+TEST(Fleet, LateGrantOutlastsTheFirstAnswerOfAnIncarnation) {
   Runner* runner = Inherit("i-1", StartTime(1700000000000));
   runner->RecordLateGrant(now + Duration(12500), Duration(10000));
   const TimePoint foreign = runner->lease_expires_at();
--- a/test/runner-list-test.cc
+++ b/test/runner-list-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of following the list of runners by its changes.
+/// Tests of watching the runner list by its changes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -11,21 +11,21 @@
 
 namespace limeledge::dispatch {
 
-// A fleet that was told of the runners "a" and "b" as of revision 7.
+// A fleet that has received the runners "a" and "b" as of revision 7.
 TEST_GROUP(RunnerList) {
   FleetOptions options;
   Fleet fleet{options};
-  StoreTimeout patience;
+  StoreTimeout store_timeout;
   Ticket tickets;
   Effects effects;
   TimePoint now{1000};
 
   void setup() override {
-    CHECK_TRUE(Asked().has_value());
+    CHECK_TRUE(Requested().has_value());
     RunnersListed snapshot;
     snapshot.runners = {Entry("a"), Entry("b")};
     snapshot.newest = Revision(7);
-    Tell(snapshot);
+    Deliver(snapshot);
   }
 
   static RunnerInfo Entry(const char* id) {
@@ -35,22 +35,22 @@
     return info;
   }
 
-  /// What the fleet asks of the list now; nothing if nothing.
-  std::optional<ListRunners> Asked() {
+  /// Returns the list request that is due, if any.
+  std::optional<ListRunners> Requested() {
     effects.clear();
     Context ctx(now, 0, &tickets, &effects);
-    fleet.List(ctx, patience);
+    fleet.List(ctx, store_timeout);
     if (effects.empty()) return std::nullopt;
     return std::get<ListRunners>(effects.front());
   }
 
-  /// The same once changes may be asked for again.
-  std::optional<ListRunners> AskedNext() {
+  /// The same after the minimum pause between requests for changes.
+  std::optional<ListRunners> RequestedNext() {
     now = now + options.list_pause;
-    return Asked();
+    return Requested();
   }
 
-  void Tell(RunnersListed answer, bool ok = true) {
+  void Deliver(RunnersListed answer, bool ok = true) {
     answer.ok = ok;
     effects.clear();
     Context ctx(now, 0, &tickets, &effects);
@@ -69,49 +69,49 @@
   }
 };
 
-TEST(RunnerList, ChangesAreAwaitedAfterTheWholeList) {
-  const std::optional<ListRunners> asked = AskedNext();
-  CHECK_TRUE(asked->after == Revision(7));
-  CHECK_TRUE(asked->wait == options.list_interval);
-  CHECK_TRUE(asked->timeout > asked->wait);
+TEST(RunnerList, ChangesAreRequestedAfterTheWholeList) {
+  const std::optional<ListRunners> request = RequestedNext();
+  CHECK_TRUE(request->after == Revision(7));
+  CHECK_TRUE(request->wait == options.list_interval);
+  CHECK_TRUE(request->timeout > request->wait);
 }
 
-TEST(RunnerList, ChangesAreNotAskedForAtOnce) {
-  CHECK_FALSE(Asked().has_value());
+TEST(RunnerList, ChangesAreRequestedAfterAPause) {
+  CHECK_FALSE(Requested().has_value());
   CHECK_TRUE(fleet.next_list_at() == now + options.list_pause);
 }
 
 TEST(RunnerList, RunnersThatDidNotChangeStayListed) {
-  Tell(Changes());
+  Deliver(Changes());
   CHECK_TRUE(fleet.FindPresent(RunnerId("a"))->listed());
   CHECK_FALSE(Leaves("a"));
-  CHECK_TRUE(AskedNext()->after == Revision(9));
+  CHECK_TRUE(RequestedNext()->after == Revision(9));
 }
 
-TEST(RunnerList, RunnerThatSaysItLeavesDoesAndNoOther) {
+TEST(RunnerList, DrainingEntryMarksOnlyItsRunnerAsLeaving) {
   RunnersListed changes = Changes();
   changes.runners = {Entry("b")};
   changes.runners.front().draining = true;
-  Tell(changes);
+  Deliver(changes);
   CHECK_TRUE(Leaves("b"));
   CHECK_FALSE(Leaves("a"));
 }
 
-TEST(RunnerList, RunnerWhoseEntryIsGoneIsTakenForLeaving) {
+TEST(RunnerList, RunnerWhoseEntryIsRemovedIsMarkedLeaving) {
   now = now + options.unlisted_grace;
   RunnersListed changes = Changes();
   changes.removed = {RunnerId("b")};
-  Tell(changes);
+  Deliver(changes);
   CHECK_FALSE(fleet.FindPresent(RunnerId("b"))->listed());
   CHECK_TRUE(Leaves("b"));
   CHECK_TRUE(fleet.FindPresent(RunnerId("a"))->listed());
 }
 
-TEST(RunnerList, EntryThatTurnsUnreadableNamesNoRunner) {
+TEST(RunnerList, RunnerWhoseEntryBecomesUnreadableIsMarkedLeaving) {
   now = now + options.unlisted_grace;
   RunnersListed changes = Changes();
   changes.unreadable = {RunnerId("b")};
-  Tell(changes);
+  Deliver(changes);
   CHECK_TRUE(Leaves("b"));
 }
 
@@ -119,25 +119,26 @@
   now = now + options.unlisted_grace;
   RunnersListed removed = Changes();
   removed.removed = {RunnerId("b")};
-  Tell(removed);
+  Deliver(removed);
   RunnersListed back = Changes();
   back.runners = {Entry("b")};
-  Tell(back);
+  Deliver(back);
   CHECK_TRUE(fleet.FindPresent(RunnerId("b"))->listed());
   CHECK_FALSE(Leaves("b"));
 }
 
-// What changed meanwhile may not be told any more: the store forgets.
-TEST(RunnerList, LostWaitIsFollowedByTheWholeListAtOnce) {
-  CHECK_TRUE(AskedNext().has_value());
-  Tell(RunnersListed(), false);
-  CHECK_TRUE(Asked()->after == Revision());
+// The changes since then may be missing from the next answer, since the store
+// compacts its history.
+TEST(RunnerList, LostRequestForChangesIsFollowedByTheWholeListAtOnce) {
+  CHECK_TRUE(RequestedNext().has_value());
+  Deliver(RunnersListed(), false);
+  CHECK_TRUE(Requested()->after == Revision());
   CHECK_TRUE(fleet.FindPresent(RunnerId("a"))->listed());
 }
 
 TEST(RunnerList, WholeListIsReadAgainAfterItsInterval) {
   now = now + options.whole_list_interval;
-  CHECK_TRUE(Asked()->after == Revision());
+  CHECK_TRUE(Requested()->after == Revision());
 }
 
 }  // namespace limeledge::dispatch
