--- a/src/dispatch/late_orders.cc
+++ b/src/dispatch/late_orders.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Bookkeeping of orders without answers.
+/// Bookkeeping for orders without answers.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/src/dispatch/late_orders.h
+++ b/src/dispatch/late_orders.h
@@ -1,5 +1,5 @@
 /// @file
-/// Orders to a runner that got no answer, and may be carried out seconds later.
+/// Orders to a runner that got no answer and may be carried out seconds later.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,32 +14,32 @@
 
 namespace limeledge::dispatch {
 
-/// Orders that may still arrive at a runner. One that arrives after the runner
-/// started again is carried out by the life it finds: that life has seen no
-/// newer scheduler and no stop, and its clock is small, so that every lease
-/// seems to end far ahead. Pure bookkeeping.
+/// Orders that may still arrive at a runner. If the runner has restarted by
+/// then, its present incarnation carries them out: it has received neither an
+/// order of a newer scheduler nor a stop, and its clock starts near zero, so
+/// that the expiry of every lease seems to be far ahead. Pure bookkeeping.
 ///
 /// Thread safety: none; use it from one thread.
 class LateOrders {
  public:
   struct Start {
-    /// What the run takes if it comes.
+    /// The capacity that the run takes if the start arrives.
     Resources need;
     TimePoint until;
   };
 
-  /// Notes a sending of the start without an answer, which may come up to
-  /// `until`; forgets what can not come any more.
+  /// Records a start without an answer that may arrive up to `until`, and
+  /// removes the starts that cannot arrive any more.
   void RecordStart(const RunKey& run, const Resources& need, TimePoint now,
                    TimePoint until);
   bool MayArrive(const RunKey& run, TimePoint now) const;
-  /// Starts that may come after `now`; the others are forgotten.
+  /// Returns the starts that may arrive after `now`, and removes the others.
   const std::map<RunKey, Start>& StartsArrivingAfter(TimePoint now);
 
-  /// Notes a call without an answer that grants a lease, and may come up to
+  /// Records a call without an answer that grants a lease and may arrive up to
   /// `until`.
   void RecordGrant(TimePoint until);
-  /// Up to then such a call may come.
+  /// The latest arrival of a call that grants a lease.
   TimePoint grants_until() const { return grants_until_; }
 
  private:
--- a/test/late-orders-test.cc
+++ b/test/late-orders-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the book of orders that may come late.
+/// Tests of the bookkeeping for orders that may arrive late.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
   const Resources need{1000, 64, 1};
 };
 
-TEST(LateOrders, StartMayComeUntilItsTimeIsOver) {
+TEST(LateOrders, StartMayArriveUntilItsTimeIsOver) {
   orders.RecordStart(run, need, TimePoint(1000), TimePoint(5000));
   CHECK_TRUE(orders.MayArrive(run, TimePoint(4999)));
   CHECK_FALSE(orders.MayArrive(run, TimePoint(5000)));
@@ -23,13 +23,13 @@
   LONGS_EQUAL(0, orders.StartsArrivingAfter(TimePoint(5000)).size());
 }
 
-TEST(LateOrders, StartThatIsSentAgainMayComeAsLateAsTheLastSending) {
+TEST(LateOrders, RepeatedStartMayArriveAsLateAsTheLatestOne) {
   orders.RecordStart(run, need, TimePoint(1000), TimePoint(5000));
   orders.RecordStart(run, need, TimePoint(1000), TimePoint(3000));
   CHECK_TRUE(orders.MayArrive(run, TimePoint(4000)));
 }
 
-TEST(LateOrders, StartsThatCanNotComeAnyMoreAreForgottenWithTheNextOne) {
+TEST(LateOrders, StartsThatCannotArriveAreRemovedWithTheNextOne) {
   orders.RecordStart(run, need, TimePoint(1000), TimePoint(2000));
   orders.RecordStart({run.first, 4}, need, TimePoint(2000), TimePoint(9000));
   LONGS_EQUAL(1, orders.StartsArrivingAfter(TimePoint(1500)).size());
