--- a/src/dispatch/leadership.cc
+++ b/src/dispatch/leadership.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Following and claiming the lease on scheduling.
+/// Watches and claims the lease on scheduling.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 
 RowKey LeaderRowKey() { return {kLeadershipTable, kLeaderKey}; }
 
-/// The instance of a holder, which is named INSTANCE/LIFE.
+/// The instance part of a holder, which has the form INSTANCE/INCARNATION.
 std::string_view InstanceOf(std::string_view holder) {
   return holder.substr(0, holder.rfind('/'));
 }
@@ -26,20 +26,20 @@
 }  // namespace
 
 Leadership::Leadership(LeadershipOptions options, std::string holder,
-                       const StoreTimeout* patience)
+                       const StoreTimeout* store_timeout)
     : options_(options),
       holder_(std::move(holder)),
-      patience_(patience),
+      store_timeout_(store_timeout),
       watch_(options.lease) {}
 
-void Leadership::Wait(TimePoint now, Duration delay) {
+void Leadership::ScheduleRead(TimePoint now, Duration delay) {
   call_under_way_ = false;
   next_at_ = now + delay;
 }
 
 void Leadership::Reset(TimePoint now) {
   watch_ = WatchedLease(options_.lease);
-  Wait(now, options_.poll_interval);
+  ScheduleRead(now, options_.poll_interval);
 }
 
 void Leadership::Follow(Context& ctx) {
@@ -49,16 +49,16 @@
   read_sent_at_ = ctx.now();
   const std::string after_key = absl::StrCat(kLeaderKey, "/");
   ctx.Emit(ReadRows{call_, StoreLane::kLeader, kLeadershipTable, "", kLeaderKey,
-                    after_key, 1, patience_->For(misses_)});
+                    after_key, 1, store_timeout_->For(unanswered_reads_)});
 }
 
 void Leadership::Handle(Context& ctx, const ReadCompleted& answer) {
-  Wait(ctx.now(), options_.poll_interval);
+  ScheduleRead(ctx.now(), options_.poll_interval);
   const bool answered = answer.outcome == StoreOutcome::kDone;
-  misses_ = answered ? 0 : misses_ + 1;
+  unanswered_reads_ = answered ? 0 : unanswered_reads_ + 1;
   refused_ = answer.outcome == StoreOutcome::kNotApplied;
   if (!answered) {
-    // The holder may have renewed meanwhile: watch from the start.
+    // The holder may have renewed in the meantime, so the watch restarts.
     watch_ = WatchedLease(options_.lease);
     return;
   }
@@ -77,21 +77,25 @@
     return;
   }
   const Duration latency = ctx.now() - read_sent_at_;
-  const Duration wait = IsSmall(*record) ? options_.small_delay : Duration(0);
-  watch_.SetLength(options_.lease + wait +
-                   latency * options_.lease_per_latency);
+  const Duration extra_wait =
+      IsSmall(*record) ? options_.small_process_delay : Duration(0);
+  watch_.SetLength(options_.lease + extra_wait +
+                   latency * options_.latency_multiple);
   watch_.Observe(ctx.now(), row.revision);
-  // Its own name: a claim whose answer was lost, a lease that this node stepped
-  // back from, or an earlier life of the instance, which is over. Should that
-  // one live on, while its machine is replaced, the new epoch deposes it.
-  // One that has led already was deposed by it, and does not claim back.
-  const bool earlier_life =
+  // The row may name this node although it does not lead: its claim got no
+  // answer, it stepped down, or the holder is an earlier incarnation of this
+  // instance, which is over. Should that incarnation still run, while its
+  // machine is being replaced, the new epoch deposes it. An incarnation that
+  // has led was deposed by the other one and does not claim the lease back.
+  const bool earlier_incarnation =
       !has_led_ && InstanceOf(record->holder) == InstanceOf(holder_);
-  const bool own = record->holder == holder_ || earlier_life;
-  const bool lapsed = watch_.LapsedAt(ctx.now());
-  const bool given_up = record->released && !IsSmall(*record);
-  const bool free = given_up || own || lapsed || IsMuchLargerThan(*record);
-  if (free) Claim(ctx, *record, row.revision);
+  const bool held_by_this_node =
+      record->holder == holder_ || earlier_incarnation;
+  const bool expired = watch_.LapsedAt(ctx.now());
+  const bool offered = record->released && !IsSmall(*record);
+  const bool claimable =
+      offered || held_by_this_node || expired || IsMuchLargerThan(*record);
+  if (claimable) Claim(ctx, *record, row.revision);
 }
 
 bool Leadership::IsSmall(const LeaderRecord& record) const {
@@ -119,13 +123,13 @@
   claim.conditions.push_back({LeaderRowKey(), revision});
   claim.puts.push_back({LeaderRowKey(), EncodeLeader(claim_)});
   ctx.Emit(CommitRows{call_, StoreLane::kLeader, std::move(claim),
-                      patience_->For()});
+                      store_timeout_->For()});
 }
 
 std::optional<Leadership::Claimed> Leadership::Handle(
     Context& ctx, const CommitCompleted& answer) {
-  // A lost answer shows at the next reading.
-  Wait(ctx.now(), options_.poll_interval);
+  // If the answer to the claim was lost, the next read shows the outcome.
+  ScheduleRead(ctx.now(), options_.poll_interval);
   if (answer.outcome != StoreOutcome::kDone) return std::nullopt;
   has_led_ = true;
   return Claimed{claim_, answer.revision, claim_sent_at_};
--- a/src/dispatch/leadership.h
+++ b/src/dispatch/leadership.h
@@ -1,5 +1,6 @@
 /// @file
-/// Who schedules: a lease row in the store, taken over when it stands still.
+/// Leader election: the scheduler holds a lease row in the store, and another
+/// node takes it over when the row is no longer renewed.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,72 +21,77 @@
 
 /// Timing of the lease on scheduling.
 struct LeadershipOptions {
-  /// How often a follower reads the row. Short, since a planned hand-over is
-  /// noticed by this reading.
+  /// How often a follower reads the row. Short, because a planned hand-over is
+  /// noticed by this read.
   Duration poll_interval{300};
-  /// The row must stand still for this long before it is taken over: four
-  /// renewals. Much shorter than the runners' lease, so that what runs
-  /// outlasts a take-over.
+  /// The row must stay unchanged for this long, four renewal intervals, before
+  /// it is taken over. Much shorter than the runners' lease, so that runs
+  /// outlast a take-over.
   Duration lease{1300};
-  /// A store that answers slowly delays renewals too: the lease is longer by
-  /// this many times what the newest reading took.
-  int lease_per_latency = 3;
-  /// Processor time that this process has, in thousandths of a core.
+  /// A slow store delays renewals too, so the lease is extended by this many
+  /// times the latency of the latest read.
+  int latency_multiple = 3;
+  /// Processor time available to this process, in thousandths of a core.
   std::int64_t capacity = 0;
-  /// A process that has this many times less than the largest holder so far
-  /// waits longer, so that a large one goes first; one that has so much more
-  /// than the holder takes over at once.
+  /// A process whose capacity is smaller than that of the largest holder so far
+  /// by more than this factor waits `small_process_delay` longer, so that a
+  /// larger one takes over first. A process that is larger than the holder by
+  /// more than this factor takes over at once.
   double capacity_factor = 1.5;
-  Duration small_delay{900};
+  Duration small_process_delay{900};
 };
 
-/// Follows the row that names the scheduler, and claims it when it lapsed.
+/// Watches the row that names the scheduler, and claims it when its lease has
+/// expired.
 ///
 /// Thread safety: none; use it from one thread.
 class Leadership {
  public:
-  /// `holder`, INSTANCE/LIFE, must be new for each life of a process.
-  /// `patience` outlives this object.
+  /// `holder` has the form INSTANCE/INCARNATION and must be unique for each
+  /// incarnation of a process. `store_timeout` must outlive this object.
   Leadership(LeadershipOptions options, std::string holder,
-             const StoreTimeout* patience);
+             const StoreTimeout* store_timeout);
 
-  /// Reads or claims when that is due. Precondition: this node does not lead.
+  /// Reads the row if that is due. Precondition: this node is not the leader.
   void Follow(Context& ctx);
   /// When `Follow` is due next.
   TimePoint next_at() const { return call_under_way_ ? kNever : next_at_; }
 
-  /// What the claim's answer made of this node.
+  /// The lease that a successful claim gave this node.
   struct Claimed {
     LeaderRecord record;
     Revision revision;
-    /// When the claim was sent: the lease counts from then.
+    /// When the claim was sent; the lease is counted from then.
     TimePoint sent_at;
   };
   void Handle(Context& ctx, const ReadCompleted& answer);
-  /// Takes in the answer to a claim; returns the lease if it is now this
-  /// node's.
+  /// Processes the answer to a claim; returns the lease if this node now holds
+  /// it.
   std::optional<Claimed> Handle(Context& ctx, const CommitCompleted& answer);
-  /// True if `ticket` is that of the call under way.
+  /// True if `ticket` belongs to the call in flight.
   bool Owns(Ticket ticket) const { return call_ == ticket; }
 
-  /// Begins to watch again, after the lease was lost or released.
+  /// Starts watching again after the lease was lost or released.
   void Reset(TimePoint now);
-  /// Stops claiming, for a process that is about to end.
+  /// Stops claiming; for a process that is shutting down.
   void Retire() { retired_ = true; }
 
-  /// False if the store refused the newest call, or left several unanswered.
-  bool store_answers() const { return !refused_ && misses_ < kMaxUnanswered; }
+  /// False if the store refused the latest call, or left several in a row
+  /// unanswered.
+  bool store_answers() const {
+    return !refused_ && unanswered_reads_ < kMaxUnanswered;
+  }
 
  private:
   void Observe(Context& ctx, const Row& row);
   bool IsSmall(const LeaderRecord& record) const;
   bool IsMuchLargerThan(const LeaderRecord& record) const;
   void Claim(Context& ctx, const LeaderRecord& seen, Revision revision);
-  void Wait(TimePoint now, Duration delay);
+  void ScheduleRead(TimePoint now, Duration delay);
 
   LeadershipOptions options_;
   std::string holder_;
-  const StoreTimeout* patience_;
+  const StoreTimeout* store_timeout_;
   WatchedLease watch_;
   Ticket call_;
   bool call_under_way_ = false;
@@ -93,11 +99,11 @@
   TimePoint claim_sent_at_;
   TimePoint next_at_;
   TimePoint read_sent_at_;
-  /// Readings without an answer, one after the other.
-  int misses_ = 0;
+  /// Consecutive reads without an answer.
+  int unanswered_reads_ = 0;
   bool refused_ = false;
   bool retired_ = false;
-  /// This life has held the lease.
+  /// This incarnation has held the lease.
   bool has_led_ = false;
 };
 
--- a/test/leadership-test.cc
+++ b/test/leadership-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of following and claiming the lease on scheduling.
+/// Tests of watching and claiming the lease on scheduling.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -23,8 +23,8 @@
     return options;
   }
 
-  StoreTimeout patience;
-  Leadership follower{Options(250), "e1/1", &patience};
+  StoreTimeout store_timeout;
+  Leadership follower{Options(250), "e1/1", &store_timeout};
 
   static LeaderRecord Held(std::int64_t capacity) {
     LeaderRecord record;
@@ -63,7 +63,7 @@
   for (int i = 0; i < 20; ++i) POINTERS_EQUAL(nullptr, Read(Held(250), i));
 }
 
-TEST(Leadership, RowThatStandsStillIsClaimedWithTheNextEpoch) {
+TEST(Leadership, UnchangedRowIsClaimedWithTheNextEpoch) {
   const CommitRows* claim = nullptr;
   int readings = 0;
   while (claim == nullptr && readings < 20) {
@@ -77,7 +77,7 @@
   LONGS_EQUAL(5, claim->transaction.conditions.front().revision.value());
 }
 
-TEST(Leadership, UnreadableStoreBeginsTheWatchAnew) {
+TEST(Leadership, FailedReadRestartsTheWatch) {
   for (int i = 0; i < 4; ++i) POINTERS_EQUAL(nullptr, Read(Held(250), 5));
   POINTERS_EQUAL(nullptr, Read(Held(250), 5, StoreOutcome::kNotApplied));
   for (int i = 0; i < 5; ++i) POINTERS_EQUAL(nullptr, Read(Held(250), 5));
@@ -90,17 +90,17 @@
   CHECK_TRUE(Read(record, 5) != nullptr);
 }
 
-// After a loss of all power nothing started for the whole lease, though the
-// holder's own next life was there.
-TEST(Leadership, EarlierLifeOfTheInstanceIsTakenOverAtOnce) {
+// Guards against waiting for the whole lease after a power failure of all
+// machines although the holder's own next incarnation is up.
+TEST(Leadership, LeaseOfAnEarlierIncarnationIsTakenOverAtOnce) {
   LeaderRecord record = Held(250);
   record.holder = "e1/0";
   CHECK_TRUE(Read(record, 5) != nullptr);
 }
 
-// Two lives of one instance deposed each other in turn while its machine was
-// being replaced.
-TEST(Leadership, LifeThatWasDeposedByAnotherDoesNotClaimBack) {
+// Guards against two incarnations of one instance that depose each other in
+// turn while its machine is being replaced.
+TEST(Leadership, DeposedIncarnationDoesNotClaimBack) {
   LeaderRecord record = Held(250);
   record.holder = "e1/0";
   const CommitRows* claim = Read(record, 5);
@@ -115,7 +115,7 @@
   POINTERS_EQUAL(nullptr, Read(record, 7));
 }
 
-TEST(Leadership, InstanceWhoseNameBeginsAlikeIsAnother) {
+TEST(Leadership, InstanceNameWithACommonPrefixIsAnotherInstance) {
   LeaderRecord record = Held(250);
   record.holder = "e11/1";
   POINTERS_EQUAL(nullptr, Read(record, 5));
