--- a/src/dispatch/peer_check.cc
+++ b/src/dispatch/peer_check.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Keeping the rows of peers, and asking them.
+/// Maintains the peer rows and asks peers about the store.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,12 +15,14 @@
 
 namespace {
 
-// Peers that are known at once: enough to ask others each time.
-constexpr int kMostPeers = 500;
-// A renewal clears at most so many rows of nodes that are gone.
-constexpr std::size_t kMostCleared = 20;
-// One silent peer may have ended; it takes two to tell of a cut.
-constexpr int kSilentForCut = 2;
+// Maximum number of peer rows read; enough to ask different peers in each
+// round.
+constexpr int kMaxPeerRows = 500;
+// Maximum number of outdated rows that one renewal removes.
+constexpr std::size_t kMaxRemovedRows = 20;
+// A single silent peer may have shut down; two are needed to conclude that this
+// node is cut off.
+constexpr int kMinSilentPeers = 2;
 
 }  // namespace
 
@@ -37,24 +39,24 @@
 }
 
 PeerCheck::PeerCheck(PeerCheckOptions options, std::string instance,
-                     std::string address, const StoreTimeout* patience)
+                     std::string address, const StoreTimeout* store_timeout)
     : options_(options),
       instance_(std::move(instance)),
       address_(std::move(address)),
-      patience_(patience) {}
+      store_timeout_(store_timeout) {}
 
 void PeerCheck::Work(Context& ctx, bool store_answers) {
   if (address_.empty()) return;
   if (!store_answers) {
-    if (!lost_) ask_at_ = ctx.now();
-    lost_ = true;
+    if (!store_lost_) ask_at_ = ctx.now();
+    store_lost_ = true;
     if (ctx.now() >= ask_at_) Ask(ctx);
     return;
   }
-  if (lost_) {
-    lost_ = false;
+  if (store_lost_) {
+    store_lost_ = false;
     asked_.clear();
-    SetLoss(ctx, StoreOutage::kUnknown);
+    SetOutage(ctx, StoreOutage::kUnknown);
   }
   if (call_under_way_) return;
   if (ctx.now() >= renew_at_) {
@@ -66,7 +68,7 @@
 
 TimePoint PeerCheck::next_at() const {
   if (address_.empty()) return kNever;
-  if (lost_) return ask_at_;
+  if (store_lost_) return ask_at_;
   return call_under_way_ ? kNever : std::min(renew_at_, read_at_);
 }
 
@@ -77,12 +79,12 @@
   renewal.partition = kPeerPartition;
   renewal.puts.push_back(
       {{kPeerTable, instance_}, EncodePeer({address_, ctx.wall_ms()})});
-  for (const std::string& key : stale_) {
-    if (renewal.removes.size() == kMostCleared) break;
+  for (const std::string& key : outdated_rows_) {
+    if (renewal.removes.size() == kMaxRemovedRows) break;
     renewal.removes.push_back({kPeerTable, key});
   }
   ctx.Emit(CommitRows{call_, StoreLane::kPeers, std::move(renewal),
-                      patience_->For()});
+                      store_timeout_->For()});
 }
 
 void PeerCheck::ReadPeers(Context& ctx) {
@@ -93,15 +95,15 @@
   read.lane = StoreLane::kPeers;
   read.table = kPeerTable;
   read.partition = kPeerPartition;
-  read.limit = kMostPeers;
-  read.timeout = patience_->For();
+  read.limit = kMaxPeerRows;
+  read.timeout = store_timeout_->For();
   ctx.Emit(std::move(read));
 }
 
 void PeerCheck::Handle(Context& ctx, const CommitCompleted& answer) {
   call_under_way_ = false;
   const bool done = answer.outcome == StoreOutcome::kDone;
-  if (done) stale_.clear();
+  if (done) outdated_rows_.clear();
   renew_at_ =
       ctx.now() + (done ? options_.renew_interval : options_.retry_pause);
 }
@@ -112,75 +114,77 @@
   read_at_ = ctx.now() + (done ? options_.list_interval : options_.retry_pause);
   if (!done) return;
   peers_.clear();
-  stale_.clear();
+  outdated_rows_.clear();
   for (const Row& row : answer.rows) {
     if (row.key.key == instance_) continue;
     const absl::StatusOr<PeerRecord> peer = DecodePeer(row.value);
     const bool fresh = peer.ok() && ctx.wall_ms() - peer->renewed_wall_ms <
-                                        options_.row_age.ms();
+                                        options_.max_row_age.ms();
     if (fresh) {
       peers_.push_back(peer->address);
     } else {
-      stale_.insert(row.key.key);
+      outdated_rows_.insert(row.key.key);
     }
   }
-  // Each node asks others first.
+  // Nodes start at different peers.
   const std::size_t start = std::hash<std::string>()(instance_);
   next_peer_ = peers_.empty() ? 0 : start % peers_.size();
 }
 
 void PeerCheck::Ask(Context& ctx) {
-  ask_at_ = ctx.now() + options_.ask_interval;
+  ask_at_ = ctx.now() + options_.round_interval;
   asked_.clear();
   round_ = Round();
-  const std::size_t count =
-      std::min(peers_.size(), static_cast<std::size_t>(options_.peers_asked));
+  const std::size_t count = std::min(
+      peers_.size(), static_cast<std::size_t>(options_.peers_per_round));
   for (std::size_t i = 0; i < count; ++i) {
     const std::string& peer = peers_[next_peer_];
     next_peer_ = (next_peer_ + 1) % peers_.size();
     asked_.insert(peer);
-    ctx.Emit(QueryPeer{peer, options_.ask_timeout});
+    ctx.Emit(QueryPeer{peer, options_.peer_timeout});
   }
   round_.asked = static_cast<int>(count);
 }
 
 void PeerCheck::Handle(Context& ctx, const PeerReplied& answer) {
-  if (!lost_ || asked_.erase(answer.address) == 0) return;
+  if (!store_lost_ || asked_.erase(answer.address) == 0) return;
   if (!answer.answered) {
     ++round_.silent;
   } else if (!answer.store_answers) {
-    ++round_.lost;
+    ++round_.without_store;
   } else {
-    const TimePoint heard_at = ctx.now() - answer.store_answer_age;
-    const std::optional<TimePoint> failing = patience_->failing_since();
-    const bool since =
-        failing.has_value() && heard_at > *failing + options_.margin;
-    if (since) SetLoss(ctx, StoreOutage::kLocal);
-    // It may not have noticed yet; the next round tells.
+    const TimePoint answered_at = ctx.now() - answer.store_answer_age;
+    const std::optional<TimePoint> failing = store_timeout_->failing_since();
+    const bool after_failure =
+        failing.has_value() &&
+        answered_at > *failing + options_.min_answer_delay;
+    if (after_failure) SetOutage(ctx, StoreOutage::kLocal);
+    // The peer may not have noticed the outage; the next round shows.
     return;
   }
-  const StoreOutage outage = Judge();
-  if (outage != StoreOutage::kUnknown) SetLoss(ctx, outage);
+  const StoreOutage outage = ClassifyOutage();
+  if (outage != StoreOutage::kUnknown) SetOutage(ctx, outage);
 }
 
-StoreOutage PeerCheck::Judge() const {
+StoreOutage PeerCheck::ClassifyOutage() const {
   if (!asked_.empty()) return StoreOutage::kUnknown;
   if (round_.silent == round_.asked) {
-    return round_.silent >= kSilentForCut ? StoreOutage::kLocal
-                                          : StoreOutage::kUnknown;
+    return round_.silent >= kMinSilentPeers ? StoreOutage::kLocal
+                                            : StoreOutage::kUnknown;
   }
-  const bool none_served = round_.silent + round_.lost == round_.asked;
+  const bool none_served = round_.silent + round_.without_store == round_.asked;
   return none_served ? StoreOutage::kGlobal : StoreOutage::kUnknown;
 }
 
-void PeerCheck::SetLoss(Context& ctx, StoreOutage outage) {
-  if (outage == loss_) return;
-  loss_ = outage;
+void PeerCheck::SetOutage(Context& ctx, StoreOutage outage) {
+  if (outage == outage_) return;
+  outage_ = outage;
   if (outage == StoreOutage::kUnknown) return;
-  ctx.Log(LogId::kStoreLossJudged, {{"store_lost", ToString(outage)},
-                                    {"peers", std::to_string(peers_.size())},
-                                    {"silent", std::to_string(round_.silent)},
-                                    {"lost_too", std::to_string(round_.lost)}});
+  ctx.Log(LogId::kStoreLossJudged,
+          {{"store_lost", ToString(outage)},
+           {"peers", std::to_string(peers_.size())},
+           {"silent", std::to_string(round_.silent)},
+           {"lost_too", std::to_string(round_.without_store)}});
 }
 
 }  // namespace limeledge::dispatch
--- a/test/coming-back-test.cc
+++ b/test/coming-back-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of when callers are told to come back while the store is lost.
+/// Tests of when callers are told to retry while the store is unavailable.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -10,10 +10,10 @@
 
 TEST_GROUP_BASE(ComingBack, SchedulerFixture){};
 
-// A third of the nodes could not reach the store for twelve seconds. Callers
-// who met one had to come back a second later, which made their urgent work
-// late, though any other node would have taken it at once.
-TEST(ComingBack, CallersOfANodeThatAloneLostTheStoreComeBackAtOnce) {
+// Guards against callers of a node that alone cannot reach the store being told
+// to retry a second later: that made urgent work late although any other node
+// would have accepted it at once.
+TEST(ComingBack, CallersOfANodeThatAloneLostTheStoreRetryAtOnce) {
   const int lost = (system.leader() + 1) % 3;
   system.faults().nodes_without_store = {lost};
   system.Run(Duration(2500));
@@ -23,9 +23,9 @@
   CHECK_TRUE(system.LossAt(lost) == dispatch::StoreOutage::kUnknown);
 }
 
-// Callers that came back at once would have used up their tries long before a
-// store that is away for four seconds was back.
-TEST(ComingBack, CallersComeBackLaterWhileTheStoreIsAwayForAll) {
+// Guards against callers being told to retry at once while the store is down
+// for all nodes: they would use up their attempts before it is back.
+TEST(ComingBack, CallersRetryLaterWhileTheStoreIsDownForAllNodes) {
   system.faults().store_down = true;
   for (int i = 0; i < 40; ++i) {
     system.Run(Duration(100));
--- a/test/peer-check-test.cc
+++ b/test/peer-check-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of telling by peers where the store is lost.
+/// Tests of asking peers whether the store is down everywhere.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,8 +17,8 @@
 
 /// A node that knows six peers, and whose calls to the store fail from 5 s on.
 TEST_GROUP(PeerCheck) {
-  StoreTimeout patience;
-  PeerCheck check{PeerCheckOptions(), "n0", "n0:7000", &patience};
+  StoreTimeout store_timeout;
+  PeerCheck check{PeerCheckOptions(), "n0", "n0:7000", &store_timeout};
   Ticket tickets;
   Effects effects;
   TimePoint now{1000};
@@ -30,11 +30,11 @@
 
   void setup() override {
     Renew();
-    TellPeers({"n0", "n1", "n2", "n3", "n4", "n5", "n6"});
+    ListPeers({"n0", "n1", "n2", "n3", "n4", "n5", "n6"});
     now = TimePoint(5000);
-    patience.Sent(Ticket(900), now);
+    store_timeout.Sent(Ticket(900), now);
     now = now + Duration(600);
-    patience.Ended(Ticket(900), now, false);
+    store_timeout.Ended(Ticket(900), now, false);
   }
 
   void Work(bool store_answers) {
@@ -42,7 +42,7 @@
     check.Work(ctx, store_answers);
   }
 
-  /// The renewal that is due is done.
+  /// Completes the renewal that is due.
   void Renew() {
     Work(true);
     CommitCompleted renewed;
@@ -52,17 +52,17 @@
     check.Handle(ctx, renewed);
   }
 
-  /// The reading that is due finds rows that were just renewed.
-  void TellPeers(const std::vector<std::string>& names) {
+  /// Answers the read that is due with rows that were just renewed.
+  void ListPeers(const std::vector<std::string>& names) {
     Work(true);
     CHECK_TRUE(std::holds_alternative<ReadRows>(effects.front()));
     std::map<std::string, std::int64_t> renewed;
     for (const std::string& name : names) renewed[name] = now.ms();
-    TellRows(renewed);
+    AnswerRows(renewed);
   }
 
-  /// Rows by name, with the time of their renewal.
-  void TellRows(const std::map<std::string, std::int64_t>& renewed) {
+  /// Answers a read with rows by name, each with the time of its renewal.
+  void AnswerRows(const std::map<std::string, std::int64_t>& renewed) {
     ReadCompleted rows;
     rows.outcome = StoreOutcome::kDone;
     for (const auto& [name, wall_ms] : renewed) {
@@ -84,60 +84,60 @@
     return asked;
   }
 
-  /// Asks, and has all that are asked give the same answer.
-  void Round(const PeerReplied& word) {
+  /// Runs one round in which all peers that are asked give the same answer.
+  void Round(const PeerReplied& reply) {
     Work(false);
     for (const std::string& address : Asked()) {
-      PeerReplied answer = word;
+      PeerReplied answer = reply;
       answer.address = address;
       Context ctx = NewContext();
       check.Handle(ctx, answer);
     }
-    now = now + PeerCheckOptions().ask_interval;
+    now = now + PeerCheckOptions().round_interval;
   }
 
-  static PeerReplied Word(bool store_answers, Duration age) {
-    PeerReplied word;
-    word.answered = true;
-    word.store_answers = store_answers;
-    word.store_answer_age = age;
-    return word;
+  static PeerReplied Reply(bool store_answers, Duration age) {
+    PeerReplied reply;
+    reply.answered = true;
+    reply.store_answers = store_answers;
+    reply.store_answer_age = age;
+    return reply;
   }
 };
 
-TEST(PeerCheck, PeerThatTheStoreAnsweredSinceTellsOfALossHereOnly) {
-  Round(Word(true, Duration(100)));
+TEST(PeerCheck, StoreAnswerOfAPeerAfterTheFailureMeansALocalOutage) {
+  Round(Reply(true, Duration(100)));
   CHECK_TRUE(check.outage() == StoreOutage::kLocal);
 }
 
-// Peers notice an outage some tenths of a second one after the other.
-TEST(PeerCheck, PeerThatTheStoreAnsweredBeforeTheLossTellsNothing) {
-  Round(Word(true, Duration(620)));
+// Peers notice an outage some tenths of a second apart.
+TEST(PeerCheck, StoreAnswerOfAPeerBeforeTheFailureIsInconclusive) {
+  Round(Reply(true, Duration(620)));
   CHECK_TRUE(check.outage() == StoreOutage::kUnknown);
-  Round(Word(false, Duration(920)));
+  Round(Reply(false, Duration(920)));
   CHECK_TRUE(check.outage() == StoreOutage::kGlobal);
 }
 
-TEST(PeerCheck, PeersWithoutTheStoreTellOfALossEverywhere) {
-  Round(Word(false, Duration(2000)));
+TEST(PeerCheck, PeersWithoutTheStoreMeanAGlobalOutage) {
+  Round(Reply(false, Duration(2000)));
   CHECK_TRUE(check.outage() == StoreOutage::kGlobal);
 }
 
-TEST(PeerCheck, SilentPeersTellOfANodeThatIsCutOff) {
+TEST(PeerCheck, SilentPeersMeanThatThisNodeIsCutOff) {
   Round(PeerReplied());
   CHECK_TRUE(check.outage() == StoreOutage::kLocal);
 }
 
-TEST(PeerCheck, OneSilentPeerAloneTellsNothing) {
-  PeerCheck alone(PeerCheckOptions(), "n0", "n0:7000", &patience);
+TEST(PeerCheck, OneSilentPeerIsInconclusive) {
+  PeerCheck alone(PeerCheckOptions(), "n0", "n0:7000", &store_timeout);
   check = alone;
   setup();
   now = now + PeerCheckOptions().list_interval;
-  patience.Sent(Ticket(901), now);
-  patience.Ended(Ticket(901), now, true);
-  TellPeers({"n0", "n1"});
-  patience.Sent(Ticket(902), now);
-  patience.Ended(Ticket(902), now, false);
+  store_timeout.Sent(Ticket(901), now);
+  store_timeout.Ended(Ticket(901), now, true);
+  ListPeers({"n0", "n1"});
+  store_timeout.Sent(Ticket(902), now);
+  store_timeout.Ended(Ticket(902), now, false);
   Round(PeerReplied());
   CHECK_TRUE(check.outage() == StoreOutage::kUnknown);
 }
@@ -145,40 +145,40 @@
 TEST(PeerCheck, OtherPeersAreAskedInTheNextRound) {
   Work(false);
   const std::vector<std::string> first = Asked();
-  LONGS_EQUAL(PeerCheckOptions().peers_asked, first.size());
+  LONGS_EQUAL(PeerCheckOptions().peers_per_round, first.size());
   Work(false);
   LONGS_EQUAL(0, Asked().size());
-  now = now + PeerCheckOptions().ask_interval;
+  now = now + PeerCheckOptions().round_interval;
   Work(false);
   CHECK_TRUE(Asked() != first);
 }
 
-TEST(PeerCheck, LossIsForgottenOnceTheStoreAnswers) {
-  Round(Word(false, Duration(2000)));
+TEST(PeerCheck, LossIsResetOnceTheStoreAnswers) {
+  Round(Reply(false, Duration(2000)));
   Work(true);
   CHECK_TRUE(check.outage() == StoreOutage::kUnknown);
 }
 
-TEST(PeerCheck, AnswerOfAnEarlierRoundIsPassedOver) {
+TEST(PeerCheck, AnswerOfAnEarlierRoundIsIgnored) {
   Work(false);
   const std::string early = Asked().front();
-  now = now + PeerCheckOptions().ask_interval;
+  now = now + PeerCheckOptions().round_interval;
   Work(false);
-  PeerReplied late = Word(true, Duration(0));
+  PeerReplied late = Reply(true, Duration(0));
   late.address = early;
   Context ctx = NewContext();
   check.Handle(ctx, late);
   CHECK_TRUE(check.outage() == StoreOutage::kUnknown);
 }
 
-TEST(PeerCheck, RowsThatNobodyRenewedAreClearedAway) {
+TEST(PeerCheck, OutdatedRowsAreRemoved) {
   now = TimePoint(1000 + PeerCheckOptions().renew_interval.ms());
   Renew();
-  // The rows of the setup are old by now.
-  now = now + PeerCheckOptions().row_age;
+  // By now the rows of the setup are outdated.
+  now = now + PeerCheckOptions().max_row_age;
   Renew();
-  TellPeers({"n0"});
-  TellRows({{"n1", 5000}, {"n2", now.ms()}});
+  ListPeers({"n0"});
+  AnswerRows({{"n1", 5000}, {"n2", now.ms()}});
   now = now + PeerCheckOptions().renew_interval;
   Work(true);
   const auto& renewal = std::get<CommitRows>(effects.front());
