--- a/src/dispatch/store_timeout.cc
+++ b/src/dispatch/store_timeout.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Learning how long the store takes.
+/// Derives timeouts of store calls from observed latencies.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr int kAllPercent = 100;
+constexpr int kFullPercent = 100;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   const auto sent = sent_.find(ticket);
   if (sent == sent_.end()) return;
   const TimePoint sent_at = sent->second;
-  const Duration taken = now - sent_at;
+  const Duration latency = now - sent_at;
   sent_.erase(sent);
   if (!answered) {
     if (!failing_since_.has_value()) failing_since_ = sent_at;
@@ -28,16 +28,19 @@
   }
   answered_at_ = now;
   failing_since_.reset();
-  const int kept = kAllPercent - options_.fall_percent;
-  const Duration fallen =
-      (usual_ * kept + taken * options_.fall_percent) / kAllPercent;
-  usual_ = std::max(taken, fallen);
+  const int kept = kFullPercent - options_.fast_answer_weight_percent;
+  const Duration smoothed =
+      (usual_latency_ * kept + latency * options_.fast_answer_weight_percent) /
+      kFullPercent;
+  usual_latency_ = std::max(latency, smoothed);
 }
 
-Duration StoreTimeout::For(int tries) const {
-  Duration bound = std::max(usual_ * options_.times_usual, options_.shortest);
-  for (int i = 0; i < tries && bound < options_.longest; ++i) bound = bound * 2;
-  return std::min(bound, options_.longest);
+Duration StoreTimeout::For(int unanswered_attempts) const {
+  Duration bound = std::max(usual_latency_ * options_.latency_multiple,
+                            options_.min_timeout);
+  for (int i = 0; i < unanswered_attempts && bound < options_.max_timeout; ++i)
+    bound = bound * 2;
+  return std::min(bound, options_.max_timeout);
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/store_timeout.h
+++ b/src/dispatch/store_timeout.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long calls to the store are waited for, learnt from its answers.
+/// Adaptive timeouts for calls to the store.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,25 +16,25 @@
 namespace limeledge::dispatch {
 
 struct StoreTimeoutOptions {
-  /// A call without an answer after this many times what answers usually take
-  /// is taken for lost: its connection went silent, or its answer did.
-  int times_usual = 10;
-  /// Never less. A store that has just turned sixty times as slow answers a
-  /// reading within this, which teaches its pace; writes that are sent again
-  /// would make it slower still.
-  Duration shortest{300};
-  /// Never more. A store sixty times as slow as usual still answers.
-  Duration longest{1200};
-  /// Weight of a quick answer after slow ones, in percent; slow answers count
-  /// at once.
-  int fall_percent = 20;
+  /// A call that takes this many times the usual latency counts as lost: its
+  /// connection or its answer was.
+  int latency_multiple = 10;
+  /// Lower limit. A store that has just become sixty times as slow answers a
+  /// read within this time, which adapts the usual latency; repeated writes
+  /// would slow it down further.
+  Duration min_timeout{300};
+  /// Upper limit. A store sixty times as slow as usual still answers within it.
+  Duration max_timeout{1200};
+  /// Weight of a fast answer after slow ones, in percent; a slow answer counts
+  /// fully at once.
+  int fast_answer_weight_percent = 20;
 };
 
-/// The store counts as away after this many calls in a row without an answer:
-/// a single one may have been lost with its connection.
+/// The store counts as unavailable after this many consecutive calls without an
+/// answer; a single one may have been lost with its connection.
 inline constexpr int kMaxUnanswered = 2;
 
-/// Watches the node's calls to the store and tells how long to wait for the
+/// Observes this node's calls to the store and computes the timeout for the
 /// next one.
 ///
 /// Thread safety: none; use it from one thread.
@@ -42,25 +42,26 @@
  public:
   explicit StoreTimeout(StoreTimeoutOptions options = {}) : options_(options) {}
 
-  /// Notes that a call was sent.
+  /// Records that a call was sent.
   void Sent(Ticket ticket, TimePoint now) { sent_[ticket] = now; }
-  /// Notes the end of a call; `answered` if the store told its outcome.
+  /// Records the end of a call; `answered` if the store reported its outcome.
   void Ended(Ticket ticket, TimePoint now, bool answered);
 
-  /// When the store last told the outcome of a call.
+  /// When the store last reported the outcome of a call.
   TimePoint answered_at() const { return answered_at_; }
-  /// When the first call was sent that got no answer since then; nothing while
-  /// the newest one was answered.
+  /// When the first unanswered call of the present series was sent; empty if
+  /// the latest call was answered.
   std::optional<TimePoint> failing_since() const { return failing_since_; }
 
-  /// Bound on a call that was sent `tries` times before without an answer:
-  /// doubles with each, so that a store that has just turned slow is met.
-  Duration For(int tries = 0) const;
+  /// Timeout for a call that was sent `unanswered_attempts` times before
+  /// without an answer. It doubles with each of them, so that a store that has
+  /// just become slow still answers in time.
+  Duration For(int unanswered_attempts = 0) const;
 
  private:
   StoreTimeoutOptions options_;
   std::map<Ticket, TimePoint> sent_;
-  Duration usual_;
+  Duration usual_latency_;
   TimePoint answered_at_;
   std::optional<TimePoint> failing_since_;
 };
