--- a/test/broken-runners-test.cc
+++ b/test/broken-runners-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of load beside runners that fail all that they start.
+/// Tests of load while some runners fail every run that they start.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -12,7 +12,7 @@
 namespace limeledge::emulator {
 
 TEST_GROUP_BASE(BrokenRunners, SchedulerFixture){
-    /// Starts of all tasks of the job.
+    /// Number of starts of all tasks of the job.
     static int Starts(const EmulatedSystem& other,
                       const JobId& job){int starts = 0;
 for (const auto& [task, count] : other.jobs().at(job).starts) {
@@ -21,7 +21,7 @@
 return starts;
 }  // namespace limeledge::emulator
 
-/// Four runners fail all that they start, or do not any more.
+/// Makes four runners fail every run that they start, or work again.
 static void SetBroken(EmulatedSystem* other, bool broken) {
   const std::vector<RunnerId> runners = other->RunnerIds();
   for (const std::size_t i : {1, 6, 9, 14}) {
@@ -31,11 +31,10 @@
 }
 ;
 
-// A part of the runners failed all that they started, within a tenth of a
-// second. When they had rested they were tried with whatever waited, many tasks
-// at once: tasks that had failed there once failed for good, and their jobs
-// with them.
-TEST(BrokenRunners, JobsOutlastRunnersThatFailAllThatTheyStart) {
+// Guards against a broken runner that gets many tasks at once after its
+// backoff: tasks that had failed there before used up their attempts, and their
+// jobs failed.
+TEST(BrokenRunners, JobsOutlastRunnersThatFailEveryRun) {
   for (const std::uint64_t seed : {1, 2, 3, 4, 5}) {
     SystemOptions options;
     options.seed = seed;
@@ -58,9 +57,9 @@
   }
 }
 
-// The runner had rested, and got as many tasks as it has accelerators: each
-// lost one of its attempts there.
-TEST(BrokenRunners, RunnerThatHasRestedIsTriedWithOneRun) {
+// Guards against a runner that after its backoff gets as many tasks as it has
+// accelerators: each of them lost an attempt there.
+TEST(BrokenRunners, RunnerIsProbedWithOneRunAfterItsBackoff) {
   SystemOptions options;
   options.planner.urgent_share = 0;
   EmulatedSystem own(options);
@@ -74,7 +73,7 @@
   LONGS_EQUAL(at_first + 1, Starts(own, job));
 }
 
-TEST(BrokenRunners, RunnerThatIsWellAgainIsUsedAgain) {
+TEST(BrokenRunners, RunnerThatWorksAgainIsUsedAgain) {
   for (const RunnerId& id : system.RunnerIds()) {
     system.FindRunner(id)->SetBroken(true);
   }
--- a/test/leaving-runners-test.cc
+++ b/test/leaving-runners-test.cc
@@ -20,10 +20,10 @@
 }
 ;
 
-// An eighth of the runners left two seconds after a notice. Gangs on them that
-// save nothing were only missed when their leases ran out, five seconds later,
-// and were worth nothing by then.
-TEST(LeavingRunners, RunThatWouldBeLostBeginsAnewBeforeItsRunnerLeaves) {
+// Guards against gangs without checkpoints that stay on a leaving runner: their
+// loss was noticed only when the leases expired, five seconds after the runner
+// had left, which was too late for their deadlines.
+TEST(LeavingRunners, RunThatWouldBeLostIsRestartedBeforeItsRunnerLeaves) {
   const JobId job = Submit(Step(1, 8, Duration(6000)), 0);
   system.Run(Duration(1500));
   system.DrainRunner(RunnerOf(job), Duration(2000));
@@ -34,7 +34,7 @@
   CheckNoViolation();
 }
 
-TEST(LeavingRunners, RunThatEndsInTimeIsLeft) {
+TEST(LeavingRunners, RunThatEndsInTimeIsNotMoved) {
   const JobId job = Submit(Step(1, 8, Duration(3000)), 0);
   system.Run(Duration(2000));
   system.DrainRunner(RunnerOf(job), Duration(3000));
@@ -44,9 +44,10 @@
   CheckNoViolation();
 }
 
-// The share was taken as if it were told now: the time left came out too long
-// by up to half, for gangs that wait for it, too.
-TEST(LeavingRunners, TimeLeftIsJudgedAsOfWhenTheShareWasTold) {
+// Guards against treating the reported percentage as current: the estimated
+// remaining time came out too long by up to half, also for gangs that wait for
+// the run.
+TEST(LeavingRunners, TimeLeftIsEstimatedFromTheTimeOfThePercentage) {
   dispatch::Run run;
   run.phase = dispatch::RunPhase::kRunning;
   run.started_at = TimePoint(1000);
--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -1,7 +1,7 @@
 /// @file
-/// Random courses in which runners start again under the ids that they had:
-/// behind cuts, while nobody schedules, several times in a row, with entries
-/// that lag, clocks that jumped back, and orders that come late.
+/// Random simulations in which runners restart under their previous ids: behind
+/// network partitions, without a scheduler, several times in a row, with
+/// outdated list entries, clocks set back, and late orders.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,24 +16,24 @@
 
 namespace {
 
-/// Courses of one run, unless more are asked for.
+/// Simulations per run, unless more are requested.
 constexpr int kDefaultRunCount = 40;
 
-/// Jobs that may be given up wrongly, in a thousand: as where tasks crash their
-/// runners.
+/// Jobs that may be given up wrongly, in a thousand; the same limit as where
+/// tasks crash their runners.
 constexpr int kMostWrongInAThousand = 5;
 
-/// What came of several courses.
+/// Totals of several simulations.
 struct Outcome {
   int broken = 0;
   int jobs = 0;
-  /// Jobs that can be done and were given up, and those of them that the
-  /// platform does not let be given up.
+  /// Jobs that can be done and were given up, and those among them that the
+  /// platform does not allow to be given up.
   int given_up = 0;
   int wrongly = 0;
 };
 
-Outcome PlayCourses(RestartMode restarts) {
+Outcome RunSimulations(RestartMode restarts) {
   Outcome all;
   for (int i = 0; i < RunCountOr(kDefaultRunCount); ++i) {
     const int seed = FirstSeed() + i;
@@ -65,12 +65,12 @@
 
 TEST_GROUP(RebornFuzz){};
 
-// Runners crash every few seconds in these courses, so that some tasks that can
-// be done are given up: the platform allows it once two runners crashed under
-// them.
-TEST(RebornFuzz, RandomCoursesBreakNoPromise) {
-  Check(PlayCourses(RestartMode::kSameIds));
-  Check(PlayCourses(RestartMode::kNewIds));
+// Runners crash every few seconds in these simulations, so that some jobs that
+// can be done are given up. The platform allows it once two runners have
+// crashed under a task.
+TEST(RebornFuzz, RandomSimulationsBreakNoPromise) {
+  Check(RunSimulations(RestartMode::kSameIds));
+  Check(RunSimulations(RestartMode::kNewIds));
 }
 
 }  // namespace limeledge::emulator
--- a/test/reborn-test.cc
+++ b/test/reborn-test.cc
@@ -1,14 +1,13 @@
 /// @file
-/// Tests of runners that start again under the ids that they had.
+/// Tests of runners that restart under their previous ids.
 //
-// Seen: tasks ran again after they were done, and one was started beyond its
-// attempts. How: runners crashed and were back a second later under their ids.
-// What they ended then was told by the scheduler as lapsed, and started again.
-// Cause: a life of a runner was named by its id alone. A runner numbers its
-// ends from 1 in each life; up to the newest end of the life before, those of
-// the new one were told to the runner as known before anybody read them, and
-// the runner forgot them. Proof: on each runner just as many runs were told as
-// lapsed as ends of the life before had been read, and these tests.
+// Guards against end reports that are lost when a runner restarts under its id.
+// A runner numbers its end reports from 1 in each incarnation. When the
+// scheduler identified a runner by its id alone, it acknowledged to the new
+// incarnation all ends up to the latest one of the previous incarnation, and
+// the runner dropped them before anyone had read them. The scheduler then
+// treated these runs as expired and restarted them, although their tasks were
+// done or had used up their attempts.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -34,7 +33,7 @@
 
   void setup() override { system.Run(Duration(3000)); }
 
-  /// Hands in a job of one step; its tasks fail, if they are to.
+  /// Submits a job of one step; its tasks fail if `fails` is set.
   JobId Submit(int count, Duration work, bool fails = false) {
     dispatch::JobSpec spec;
     spec.steps = {SchedulerFixture::Step(count, 1, work)};
@@ -45,7 +44,8 @@
     return system.Submit(spec, {truth});
   }
 
-  /// The runner ends eight runs, whose ends are read, and starts again.
+  /// Lets the runner end eight runs, whose end reports are read, and restarts
+  /// it.
   void RestartAfterEightEnds() {
     Submit(8, Duration(500));
     system.Run(Duration(2000));
@@ -66,7 +66,7 @@
   }
 };
 
-TEST(Reborn, TasksThatAreDoneInTheNextLifeAreNotStartedAgain) {
+TEST(Reborn, TasksDoneInTheNextIncarnationAreNotStartedAgain) {
   RestartAfterEightEnds();
   const JobId job = Submit(8, Duration(800));
   system.Run(Duration(10000));
@@ -75,7 +75,7 @@
   CheckNoViolation();
 }
 
-TEST(Reborn, TaskThatFailsInTheNextLifeIsNotStartedBeyondItsAttempts) {
+TEST(Reborn, TaskThatFailsInTheNextIncarnationKeepsToItsAttempts) {
   RestartAfterEightEnds();
   const JobId job = Submit(1, Duration(800), true);
   system.Run(Duration(30000));
@@ -84,8 +84,8 @@
   CheckNoViolation();
 }
 
-// The list tells of the life before for a second and a half.
-TEST(Reborn, EntryThatLagsEndsNoLife) {
+// The list shows the previous incarnation for another second and a half.
+TEST(Reborn, OutdatedEntryDoesNotEndAnIncarnation) {
   SystemOptions options = OneRunnerThatKeepsItsId();
   options.entry_lag = Duration(1500);
   EmulatedSystem lagging(options);
@@ -106,7 +106,7 @@
   for (const std::string& what : lagging.violations()) FAIL(what.c_str());
 }
 
-TEST(Reborn, ClockThatJumpedBackMakesNoLifeAnEarlierOne) {
+TEST(Reborn, ClockSetBackDoesNotMakeAnIncarnationAnEarlierOne) {
   SystemOptions options = OneRunnerThatKeepsItsId();
   options.birth_step = Duration(-60000);
   EmulatedSystem back(options);
@@ -122,10 +122,10 @@
   for (const std::string& what : back.violations()) FAIL(what.c_str());
 }
 
-// A start got no answer, and its runner started again before it came. The next
-// life is told not to begin it, and only then the task starts again, in a small
-// part of the time in which the start might have come.
-TEST(Reborn, StartThatMayComeIsRuledOutInTheNextLifeBeforeItsTaskStartsAgain) {
+// A start gets no answer, and its runner restarts before the start arrives. The
+// scheduler sends the next incarnation a stop, which cancels the start, and
+// only then restarts the task, long before the late start could have arrived.
+TEST(Reborn, LateStartIsCancelledInTheNextIncarnationBeforeItsTaskRestarts) {
   system.faults().orders_lost = 1;
   system.faults().late_order = Duration(12000);
   const JobId job = Submit(1, Duration(2000));
@@ -139,9 +139,9 @@
   CheckNoViolation();
 }
 
-// What ran on a life that is over by the time another scheduler takes over went
-// with it.
-TEST(Reborn, RunsOfALifeBeforeATakeOverStartAgainSoon) {
+// Runs of an incarnation that is over when another scheduler takes over are
+// lost with it.
+TEST(Reborn, RunsOfAnIncarnationLostBeforeATakeOverRestartSoon) {
   const JobId job = Submit(2, Duration(3000));
   system.Run(Duration(500));
   for (int node = 0; node < 3; ++node) system.KillNode(node, Duration(1500));
@@ -152,7 +152,7 @@
   CheckNoViolation();
 }
 
-TEST(Reborn, CrashesOfARunnerThatComesBackUnderItsIdCountAgainstTheTask) {
+TEST(Reborn, CrashesOfARunnerThatRestartsUnderItsIdCountAgainstTheTask) {
   SystemOptions options;
   options.keeps_ids = true;
   EmulatedSystem fleet(options);
