--- a/src/dispatch/runner.cc
+++ b/src/dispatch/runner.cc
@@ -56,11 +56,11 @@
 }
 
 void StopRequest::Request(TimePoint now, Duration retry_after) {
-  if (IsDue(now, retry_after)) wanted_ = true;
+  if (IsDue(now, retry_after)) queued_ = true;
 }
 
 void StopRequest::Sent(TimePoint now) {
-  wanted_ = false;
+  queued_ = false;
   in_flight_ = true;
   sent_at_ = now;
 }
--- a/src/dispatch/runner.h
+++ b/src/dispatch/runner.h
@@ -89,7 +89,7 @@
   /// Queues the stop if it is due.
   void Request(TimePoint now, Duration retry_after);
   /// True while the stop is queued.
-  bool queued() const { return wanted_; }
+  bool queued() const { return queued_; }
   /// Records that the stop was sent.
   void Sent(TimePoint now);
   /// Records the end of the call. A stop without an answer is due again at
@@ -97,10 +97,10 @@
   void Answered(bool obeyed);
   bool in_flight() const { return in_flight_; }
   /// True while the stop is queued or its answer is pending.
-  bool open() const { return wanted_ || in_flight_; }
+  bool open() const { return queued_ || in_flight_; }
 
  private:
-  bool wanted_ = false;
+  bool queued_ = false;
   bool in_flight_ = false;
   std::optional<TimePoint> sent_at_;
 };
