--- a/test/reborn-fuzz-test.cc
+++ b/test/reborn-fuzz-test.cc
@@ -21,44 +21,45 @@
 
 /// Jobs that may be given up wrongly, in a thousand; the same limit as where
 /// tasks crash their runners.
-constexpr int kMostWrongInAThousand = 5;
+constexpr int kMaxWrongPerThousand = 5;
 
 /// Totals of several simulations.
 struct Outcome {
-  int broken = 0;
+  int failed = 0;
   int jobs = 0;
   /// Jobs that can be done and were given up, and those among them that the
   /// platform does not allow to be given up.
   int given_up = 0;
-  int wrongly = 0;
+  int given_up_wrongly = 0;
 };
 
 Outcome RunSimulations(RestartMode restarts) {
   Outcome all;
   for (int i = 0; i < RunCountOr(kDefaultRunCount); ++i) {
     const int seed = FirstSeed() + i;
-    Simulation course(seed, dispatch::DefaultPlanningPolicy(), restarts);
-    const std::vector<std::string> wrong = course.Run();
-    all.jobs += course.jobs();
-    all.given_up += course.given_up();
-    all.wrongly += course.given_up_wrongly();
+    Simulation simulation(seed, dispatch::DefaultPlanningPolicy(), restarts);
+    const std::vector<std::string> wrong = simulation.Run();
+    all.jobs += simulation.jobs();
+    all.given_up += simulation.given_up();
+    all.given_up_wrongly += simulation.given_up_wrongly();
     if (wrong.empty()) continue;
-    ++all.broken;
+    ++all.failed;
     UT_PRINT(("seed " + std::to_string(seed) + ": " + wrong.front() + " (" +
               std::to_string(wrong.size()) + " in all)")
                  .c_str());
   }
   UT_PRINT((std::to_string(all.given_up) + " of " + std::to_string(all.jobs) +
-            " jobs given up, " + std::to_string(all.wrongly) + " wrongly")
+            " jobs given up, " + std::to_string(all.given_up_wrongly) +
+            " wrongly")
                .c_str());
   return all;
 }
 
 void Check(const Outcome& outcome) {
-  constexpr int kThousand = 1000;
-  LONGS_EQUAL(0, outcome.broken);
-  CHECK_TRUE(outcome.wrongly * kThousand <=
-             outcome.jobs * kMostWrongInAThousand);
+  constexpr int kPerThousand = 1000;
+  LONGS_EQUAL(0, outcome.failed);
+  CHECK_TRUE(outcome.given_up_wrongly * kPerThousand <=
+             outcome.jobs * kMaxWrongPerThousand);
 }
 
 }  // namespace
