--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -12,12 +12,11 @@
 
 namespace limeledge::dispatch {
 
-Runner* Fleet::Find(const IncarnationId& incarnation) {
-  const auto found = runners_.find(incarnation.runner);
-  if (found == runners_.end() || found->second->incarnation() != incarnation)
-    return nullptr;
-  MarkForReschedule(found->second.get());
-  return found->second.get();
+Runner* Fleet::Find(const IncarnationId& id) {
+  const auto it = runners_.find(id.runner);
+  if (it == runners_.end() || it->second->incarnation() != id) return nullptr;
+  MarkForReschedule(it->second.get());
+  return it->second.get();
 }
 
 Runner* Fleet::FindPresent(const RunnerId& id) {
@@ -207,13 +206,12 @@
 }
 
 void Fleet::PollForNewIncarnation(Context& ctx, Runner* runner,
-                                  StartTime start_time) {
-  if (!IsReported(start_time) || runner->hinted_start_time == start_time)
-    return;
-  runner->hinted_start_time = start_time;
+                                  StartTime started) {
+  if (!IsReported(started) || runner->hinted_start_time == started) return;
+  runner->hinted_start_time = started;
   ctx.Log(LogId::kRunnerHinted,
           {{"runner", runner->id().value()},
-           {"born", ToString(start_time)},
+           {"born", ToString(started)},
            {"known", ToString(runner->incarnation().start_time)}});
   // A poll in flight may wait on a dead connection.
   runner->poll_in_flight = false;
@@ -226,15 +224,14 @@
 }
 
 void Fleet::Unlist(Context& ctx, Runner* runner) {
-  const bool may_have_expired = MayHaveExpired(ctx.now());
+  const bool expired = MayHaveExpired(ctx.now());
   if (runner->listed()) {
     runner->Unlist(ctx.now());
     ctx.Log(LogId::kRunnerUnlisted,
             {{"runner", runner->id().value()},
-             {"taken_for", may_have_expired ? "lapsed" : "leaving"}});
+             {"taken_for", expired ? "lapsed" : "leaving"}});
   }
-  if (!may_have_expired)
-    runner->MarkLeaving(ctx.now(), options_.unannounced_drain_time);
+  if (!expired) runner->MarkLeaving(ctx.now(), options_.unannounced_drain_time);
 }
 
 Duration Fleet::PollWaitFor(const Runner& runner) const {
@@ -397,22 +394,21 @@
   for (const auto& [id, runner] : runners_) {
     if (!AcceptsWork(*runner, now)) continue;
     if (drained_halls.count(runner->info().hall) != 0) continue;
-    Candidate candidate;
-    candidate.runner = runner.get();
-    candidate.rack = runner->rack();
-    candidate.room = runner->free_capacity();
-    candidate.suspect = now < runner->suspect_until;
-    candidate.may_fail_immediately = runner->MayFailImmediately(now);
-    candidate.tried = runner->HasProbeRun();
-    candidate.best_effort_runs = runner->CountSharing(Sharing::kBestEffort);
-    candidate.latency_sensitive_runs =
+    Candidate item;
+    item.runner = runner.get();
+    item.rack = runner->rack();
+    item.room = runner->free_capacity();
+    item.suspect = now < runner->suspect_until;
+    item.may_fail_immediately = runner->MayFailImmediately(now);
+    item.tried = runner->HasProbeRun();
+    item.best_effort_runs = runner->CountSharing(Sharing::kBestEffort);
+    item.latency_sensitive_runs =
         runner->CountSharing(Sharing::kLatencySensitive);
     for (const auto& [name, run] : runner->runs()) {
-      if (run.stopping) candidate.releasing += run.need;
-      if (IsOnProbation(run, options_.probation, now))
-        candidate.on_probation = true;
+      if (run.stopping) item.releasing += run.need;
+      if (IsOnProbation(run, options_.probation, now)) item.on_probation = true;
     }
-    candidates.push_back(std::move(candidate));
+    candidates.push_back(std::move(item));
   }
   return candidates;
 }
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -118,10 +118,10 @@
   const std::map<RunnerId, std::unique_ptr<Runner>>& runners() const {
     return runners_;
   }
-  /// Finds a runner; null if `incarnation` is not its present one. The next
+  /// Finds a runner; null if `id` is not its present incarnation. The next
   /// `Poll` reschedules the runner's poll, so the caller may change its due
   /// time.
-  Runner* Find(const IncarnationId& incarnation);
+  Runner* Find(const IncarnationId& id);
   /// Finds the present incarnation of a runner; null if there is none. The next
   /// `Poll` reschedules its poll, as after `Find`.
   Runner* FindPresent(const RunnerId& id);
@@ -203,8 +203,7 @@
   /// Polls the runner at once because its entry describes another incarnation.
   /// The list lags, so that may be an earlier one; the poll shows which
   /// incarnation is present.
-  void PollForNewIncarnation(Context& ctx, Runner* runner,
-                             StartTime start_time);
+  void PollForNewIncarnation(Context& ctx, Runner* runner, StartTime started);
   /// Records that a runner's entry is gone.
   void Unlist(Context& ctx, Runner* runner);
   /// Records that the due time of the runner's next poll may have changed.
--- a/src/dispatch/store_timeout.cc
+++ b/src/dispatch/store_timeout.cc
@@ -35,12 +35,11 @@
   usual_latency_ = std::max(latency, smoothed);
 }
 
-Duration StoreTimeout::For(int unanswered_attempts) const {
-  Duration bound = std::max(usual_latency_ * options_.latency_multiple,
-                            options_.min_timeout);
-  for (int i = 0; i < unanswered_attempts && bound < options_.max_timeout; ++i)
-    bound = bound * 2;
-  return std::min(bound, options_.max_timeout);
+Duration StoreTimeout::For(int attempts) const {
+  Duration bound =
+      std::max(usual_latency_ * options_.latency_multiple, options_.min);
+  for (int i = 0; i < attempts && bound < options_.max; ++i) bound = bound * 2;
+  return std::min(bound, options_.max);
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/store_timeout.h
+++ b/src/dispatch/store_timeout.h
@@ -22,9 +22,9 @@
   /// Lower limit. A store that has just become sixty times as slow answers a
   /// read within this time, which adapts the usual latency; repeated writes
   /// would slow it down further.
-  Duration min_timeout{300};
+  Duration min{300};
   /// Upper limit. A store sixty times as slow as usual still answers within it.
-  Duration max_timeout{1200};
+  Duration max{1200};
   /// Weight of a fast answer after slow ones, in percent; a slow answer counts
   /// fully at once.
   int fast_answer_weight_percent = 20;
@@ -53,10 +53,10 @@
   /// the latest call was answered.
   std::optional<TimePoint> failing_since() const { return failing_since_; }
 
-  /// Timeout for a call that was sent `unanswered_attempts` times before
-  /// without an answer. It doubles with each of them, so that a store that has
-  /// just become slow still answers in time.
-  Duration For(int unanswered_attempts = 0) const;
+  /// Timeout for a call that was sent `attempts` times before without an
+  /// answer. It doubles with each of them, so that a store that has just become
+  /// slow still answers in time.
+  Duration For(int attempts = 0) const;
 
  private:
   StoreTimeoutOptions options_;
