--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -25,7 +25,7 @@
   kJobFeed,
   /// The scheduler's own calls about jobs, one lane for each part: a take-over
   /// must not wait behind callers' calls whose answers are lost.
-  kJobPartitions,
+  kScheduler,
   /// Rows of peers, which nothing waits for.
   kPeers,
 };
--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -36,7 +36,7 @@
   call_ = ctx.NewTicket();
   CommitRows commit;
   commit.ticket = call_;
-  commit.lane = StoreLane::kJobPartitions;
+  commit.lane = StoreLane::kScheduler;
   commit.transaction.partition = JobPartition(jobs_.front().value());
   for (const JobId& id : jobs_) {
     commit.transaction.removes.push_back({kJobTable, id.value()});
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -54,7 +54,7 @@
   reading->call = ctx.NewTicket();
   const char* table =
       stage_ == Stage::kReadProgress ? kProgressTable : kJobTable;
-  ctx.Emit(ReadRows{reading->call, StoreLane::kJobPartitions, table,
+  ctx.Emit(ReadRows{reading->call, StoreLane::kScheduler, table,
                     reading->partition, reading->next_key, "",
                     options_.page_rows, patience_->For(reading->misses)});
 }
