--- a/test/room-fuzz-test.cc
+++ b/test/room-fuzz-test.cc
@@ -34,7 +34,7 @@
     system_.Run(Duration(3000));
     for (int i = 0; i < kSteps; ++i) {
       Submit();
-      if (OneIn(3)) ChangeRoom(OneIn(3) ? 0 : Pick(1, kJobPartitions));
+      if (OneIn(3)) ChangeRoom(OneIn(3) ? 0 : Pick(1, kCapacityParts));
       if (OneIn(6)) Fault();
       system_.Run(Duration(Pick(100, 700)));
     }
@@ -54,7 +54,7 @@
  private:
   static constexpr int kSteps = 60;
   /// A room shrinks to so many parts of this many.
-  static constexpr int kJobPartitions = 4;
+  static constexpr int kCapacityParts = 4;
 
   static SystemOptions OptionsFor(int seed) {
     SystemOptions options;
@@ -78,9 +78,9 @@
 
   void ChangeRoom(int parts) {
     dispatch::Resources room = system_.room();
-    room.cpu_millis = room.cpu_millis * parts / kJobPartitions;
-    room.memory_mb = room.memory_mb * parts / kJobPartitions;
-    room.accelerators = room.accelerators * parts / kJobPartitions;
+    room.cpu_millis = room.cpu_millis * parts / kCapacityParts;
+    room.memory_mb = room.memory_mb * parts / kCapacityParts;
+    room.accelerators = room.accelerators * parts / kCapacityParts;
     system_.SetRoom(AnyRunner(), room);
   }
 
