--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Job state, planning and store access of the scheduler. Answers from runners
-/// are handled in scheduler_runs.cc.
+/// Jobs, decisions and the store's side of the scheduler; the runners' side is
+/// in scheduler_runs.cc.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,10 +16,10 @@
 
 namespace {
 
-// How often runs are checked for silent runners, stalls and draining runners.
+// How often runs are checked for runners that went silent.
 constexpr Duration kCheckInterval{100};
-// Number of steps that `pass_interval_per_hundred_steps` refers to.
-constexpr int kStepsPerDelay = 100;
+// Steps to which `pass_interval_per_hundred` refers.
+constexpr int kHundred = 100;
 
 Scheduler::LeaseStatus ToLeaseStatus(StateWriter::LeaseStatus verdict) {
   switch (verdict) {
@@ -36,18 +36,18 @@
 
 Scheduler::Scheduler(SchedulerOptions options,
                      const Leadership::Claimed& claimed,
-                     const StoreTimeout* store_timeout, TimePoint now)
+                     const StoreTimeout* patience, TimePoint now)
     : options_(options),
-      store_timeout_(store_timeout),
-      writer_(options.writer, claimed, store_timeout, now),
-      jobs_(store_timeout, options.job_registry),
+      store_patience_(patience),
+      writer_(options.writer, claimed, patience, now),
+      book_(patience, options.job_registry),
       cleaner_(options.cleaner),
       fleet_(options.fleet),
-      losses_(options.loss),
+      losses_(options.losses),
       planner_(options.planner) {}
 
 bool Scheduler::Owns(Ticket ticket) const {
-  return writer_.Owns(ticket) || jobs_.Owns(ticket) || cleaner_.Owns(ticket);
+  return writer_.Owns(ticket) || book_.Owns(ticket) || cleaner_.Owns(ticket);
 }
 
 void Scheduler::Release() {
@@ -61,22 +61,22 @@
   if (!cleaner_.Owns(answer.ticket)) {
     return ToLeaseStatus(writer_.Handle(ctx, answer));
   }
-  cleaner_.Handle(ctx, answer, &jobs_, &writer_);
+  cleaner_.Handle(ctx, answer, &book_, &writer_);
   return LeaseStatus::kHeld;
 }
 
 void Scheduler::Handle(Context& ctx, const ReadCompleted& answer) {
-  HandleChanges(ctx, jobs_.Handle(ctx, answer));
+  HandleChanges(ctx, book_.Handle(ctx, answer));
 }
 
 void Scheduler::Handle(Context& ctx, const ChangesReceived& answer) {
-  HandleChanges(ctx, jobs_.Handle(ctx, answer));
+  HandleChanges(ctx, book_.Handle(ctx, answer));
 }
 
 void Scheduler::Handle(Context& ctx, const RunnersListed& answer) {
   fleet_.Handle(ctx, answer);
   ResolveReplacedIncarnations(ctx, answer);
-  // A runner's capacity may have shrunk below what its queued starts need.
+  // A room may have shrunk under what waits to start there.
   for (const RunnerInfo& info : answer.runners) {
     const Runner& runner = *fleet_.runners().at(info.id);
     if (!runner.waiting_starts.empty()) orders_due_.insert(info.id);
@@ -86,21 +86,20 @@
 
 void Scheduler::HandleChanges(Context& ctx, const std::vector<JobId>& changed) {
   for (const JobId& id : changed) {
-    Job* job = jobs_.Find(id);
+    Job* job = book_.Find(id);
     if (job == nullptr) continue;
     plan_due_ = true;
     InheritRuns(ctx, job);
-    // Inherited runs may put the job into a final state, which deletes its
-    // object.
-    job = jobs_.Find(id);
+    // What is inherited may settle the job, which ends its object.
+    job = book_.Find(id);
     if (job != nullptr) InheritLosses(ctx, *job);
-    job = jobs_.Find(id);
+    job = book_.Find(id);
     if (job != nullptr && job->cancel_requested()) UpdateJobState(ctx, job);
   }
 }
 
 void Scheduler::InheritRuns(Context& ctx, Job* job) {
-  std::set<Runner*> ended_runners;
+  std::set<Runner*> gone;
   for (std::size_t k = 0; k < job->occurrences().size(); ++k) {
     std::vector<Step>& steps = job->occurrences()[k].steps;
     for (std::size_t s = 0; s < steps.size(); ++s) {
@@ -123,25 +122,25 @@
         run.progressed_at = ctx.now();
         run.suspect = IsSuspect(task.losses);
         runner->Add(name, run);
-        // Rows of versions that did not store start times name no incarnation.
+        // Rows of versions that did not tell lives apart name none.
         if (!IsReported(run.stored_incarnation)) {
           job->MoveRun(name, run.number, runner->incarnation());
         }
-        if (runner->ended) ended_runners.insert(runner);
+        if (runner->ended) gone.insert(runner);
       }
     }
   }
-  // Some jobs may be read after their runner was found to be lost. That runner
-  // is no longer polled, so its runs have to be ended here.
-  for (Runner* runner : ended_runners) {
-    EndAllRuns(ctx, runner, "it was lost before its runs were loaded");
+  // A part of the jobs may be read after a runner was found to be gone; nobody
+  // looks at it any more.
+  for (Runner* runner : gone) {
+    EndAllRuns(ctx, runner, "it was lost before its runs were read");
   }
 }
 
-void Scheduler::MarkProgressDirty(const JobId& id) {
+void Scheduler::MarkProgressChanged(const JobId& id) {
   writer_.Mark({kProgressTable, id.value()},
                [this, id]() -> std::optional<std::string> {
-                 const Job* job = jobs_.Find(id);
+                 const Job* job = book_.Find(id);
                  if (job == nullptr) return std::nullopt;
                  return EncodeProgress(*job);
                });
@@ -154,33 +153,34 @@
 void Scheduler::UpdateJobState(Context& ctx, Job* job) {
   const JobId id = job->spec().id;
   job->Settle();
-  MarkProgressDirty(id);
+  MarkProgressChanged(id);
   if (!IsFinal(job->state())) return;
   ctx.Log(LogId::kJobSettled,
           {{"job", id.value()}, {"state", ToString(job->state())}});
   StopJob(ctx, id);
   // The job is forgotten once its final state is stored.
   writer_.Mark({kProgressTable, id.value()},
-               [row = EncodeProgress(*job)] { return row; });
+               [text = EncodeProgress(*job)] { return text; });
   writer_.RunWhenStored(
       {kProgressTable, id.value()},
-      [this, id](Context& later) { jobs_.RecordFinalStored(id, later.now()); });
-  ticket_cache_.Forget(id);
-  jobs_.MarkFinal(id);
+      [this, id](Context& later) { book_.RecordFinalStored(id, later.now()); });
+  advice_.Forget(id);
+  book_.MarkFinal(id);
 }
 
 void Scheduler::WriteWaitingCounts(Context& ctx) {
-  if (ctx.now() - counts_written_at_ < options_.waiting_counts_interval) return;
-  counts_written_at_ = ctx.now();
-  std::string row = EncodeWaiting(jobs_.CountWaiting());
-  if (row == written_waiting_counts_) return;
-  written_waiting_counts_ = row;
+  if (ctx.now() - waiting_counts_written_at_ < options_.waiting_counts_interval)
+    return;
+  waiting_counts_written_at_ = ctx.now();
+  std::string text = EncodeWaiting(book_.CountWaiting());
+  if (text == written_waiting_counts_) return;
+  written_waiting_counts_ = text;
   writer_.Mark({kLeadershipTable, kWaitingKey},
-               [row = std::move(row)] { return row; });
+               [text = std::move(text)] { return text; });
 }
 
 void Scheduler::Handle(Context& ctx, const AdviceReceived& answer) {
-  ticket_cache_.Handle(ctx, answer);
+  advice_.Handle(ctx, answer);
   plan_due_ = true;
 }
 
@@ -191,31 +191,31 @@
                                 {"tasks", std::to_string(wait.tasks)},
                                 {"reason", ToString(wait.reason)}});
   }
-  for (const AdviceRequest& request : plan.advice_requests) {
-    ticket_cache_.RequestTickets(ctx, request.step, request.runners);
+  for (const AdviceRequest& wish : plan.advice_requests) {
+    advice_.RequestTickets(ctx, wish.step, wish.runners);
   }
-  for (const Preemption& preemption : plan.preemptions) {
-    Preempt(ctx, preemption);
+  for (const Preemption& displaced : plan.preemptions) {
+    Preempt(ctx, displaced);
   }
   for (const Assignment& assignment : plan.assignments) {
     Assign(ctx, assignment);
   }
 }
 
-void Scheduler::Preempt(Context& ctx, const Preemption& preemption) {
-  Runner* runner = fleet_.Find(preemption.incarnation);
+void Scheduler::Preempt(Context& ctx, const Preemption& displaced) {
+  Runner* runner = fleet_.Find(displaced.incarnation);
   if (runner == nullptr) return;
   ctx.Log(LogId::kRunDisplaced,
-          {{"task", ToString(preemption.task)},
-           {"runner", preemption.incarnation.runner.value()},
-           {"for", preemption.preemptor.value()}});
-  RequestStop(ctx, runner, preemption.task);
-  StopGang(ctx, preemption.task);
+          {{"task", ToString(displaced.task)},
+           {"runner", displaced.incarnation.runner.value()},
+           {"for", displaced.preemptor.value()}});
+  RequestStop(ctx, runner, displaced.task);
+  StopGang(ctx, displaced.task);
 }
 
 void Scheduler::Assign(Context& ctx, const Assignment& assignment) {
   const TaskName& name = assignment.task;
-  Job* job = jobs_.Find(name.job);
+  Job* job = book_.Find(name.job);
   const IncarnationId incarnation = assignment.runner->incarnation();
   job->Assign(name, assignment.run, incarnation, ctx.now());
   Run run;
@@ -239,7 +239,7 @@
            {"near_ms", near_ms},
            {"accelerators", std::to_string(run.need.accelerators)},
            {"cpu_millis", std::to_string(run.need.cpu_millis)}});
-  MarkProgressDirty(name.job);
+  MarkProgressChanged(name.job);
   writer_.RunWhenStored(
       {kProgressTable, name.job.value()},
       [this, name, number = run.number, incarnation](Context&) {
@@ -253,11 +253,11 @@
   CheckRuns(ctx);
   ResolveOverdueLosses(ctx);
   fleet_.RemoveGone(ctx);
-  if (!releasing_) cleaner_.Work(ctx, &jobs_, &writer_);
+  if (!releasing_) cleaner_.Work(ctx, &book_, &writer_);
 }
 
 bool Scheduler::IsPassDue(TimePoint now) const {
-  if (!jobs_.loaded() || releasing_ || !writer_.store_answers()) return false;
+  if (!book_.loaded() || releasing_ || !writer_.store_answers()) return false;
   if (now < next_pass_at_) return false;
   return plan_due_ || now >= planner_.next_at() ||
          now - last_pass_at_ >= options_.max_pass_interval;
@@ -266,12 +266,11 @@
 void Scheduler::RunPlanningPass(Context& ctx) {
   plan_due_ = false;
   last_pass_at_ = ctx.now();
-  const Plan plan =
-      planner_.Decide(ctx.now(), ctx.wall_ms(), *catalog_, run_time_estimator_,
-                      ticket_cache_, &jobs_, &fleet_);
-  next_pass_at_ = ctx.now() + options_.min_pass_interval +
-                  options_.pass_interval_per_hundred_steps * plan.steps_tried /
-                      kStepsPerDelay;
+  const Plan plan = planner_.Decide(ctx.now(), ctx.wall_ms(), *catalog_, times_,
+                                    advice_, &book_, &fleet_);
+  next_pass_at_ =
+      ctx.now() + options_.min_pass_interval +
+      options_.pass_interval_per_hundred_steps * plan.steps_tried / kHundred;
   ApplyPlan(ctx, plan);
   LogIdleAccelerators(ctx, plan);
   WriteWaitingCounts(ctx);
@@ -280,19 +279,19 @@
 void Scheduler::LogIdleAccelerators(Context& ctx, const Plan& plan) {
   if (plan.steps_waiting == 0 || ctx.now() < next_idle_accelerators_at_) return;
   next_idle_accelerators_at_ = ctx.now() + options_.idle_accelerators_interval;
-  const IdleAccelerators& idle = plan.idle_accelerators;
+  const IdleAccelerators& room = plan.idle_accelerators;
   ctx.Log(LogId::kIdleRoom,
           {{"steps", std::to_string(plan.steps_waiting)},
-           {"accelerators", std::to_string(idle.all)},
-           {"urgent_racks", std::to_string(idle.urgent_racks)},
-           {"kept", std::to_string(idle.kept)},
-           {"open", std::to_string(idle.open)}});
+           {"accelerators", std::to_string(room.all)},
+           {"urgent_racks", std::to_string(room.urgent_racks)},
+           {"kept", std::to_string(room.kept)},
+           {"open", std::to_string(room.open)}});
 }
 
 void Scheduler::HandleProcessPause(Context& ctx, Duration time) {
   writer_.RequireConfirmation(ctx.now());
   fleet_.HandleProcessPause();
-  ticket_cache_.HandleProcessPause(time);
+  advice_.HandleProcessPause(time);
   ctx.Log(LogId::kStoodStill, {{"ms", std::to_string(time.ms())},
                                {"epoch", std::to_string(epoch().value())}});
 }
@@ -303,18 +302,17 @@
     writer_.Flush(ctx);
     return;
   }
-  fleet_.List(ctx, *store_timeout_);
-  // Inherited runs can only be matched with runners once the list of runners
-  // was read.
-  if (fleet_.listed_once()) jobs_.Work(ctx);
+  fleet_.List(ctx, *store_patience_);
+  // What was running where is only judged with the list of runners at hand.
+  if (fleet_.listed_once()) book_.Work(ctx);
   const bool may_renew =
       ctx.now() - writer_.confirmed_at() < options_.fleet.longest_unconfirmed;
   RunPeriodicChecks(ctx);
   if (IsPassDue(ctx.now())) RunPlanningPass(ctx);
   SendOrders(ctx);
-  // The runs of a runner are only known completely once all jobs are read.
-  if (jobs_.loaded()) {
-    fleet_.Poll(ctx, writer_.epoch(), may_renew, jobs_.HasReadAllPartitions());
+  // The runners are only known by what is assigned to them once all is read.
+  if (book_.loaded()) {
+    fleet_.Poll(ctx, writer_.epoch(), may_renew, book_.HasReadAllPartitions());
   }
   writer_.Flush(ctx);
 }
@@ -323,10 +321,10 @@
   if (!writer_.MayAct()) return writer_.next_at();
   TimePoint next = std::min(writer_.next_at(), next_check_at_);
   next =
-      std::min(next, jobs_.loaded() ? fleet_.next_at() : fleet_.next_list_at());
-  if (fleet_.listed_once()) next = std::min(next, jobs_.next_at());
-  // A pass that is not possible now runs once the store answers again.
-  if (!jobs_.loaded() || releasing_ || !writer_.store_answers()) return next;
+      std::min(next, book_.loaded() ? fleet_.next_at() : fleet_.next_list_at());
+  if (fleet_.listed_once()) next = std::min(next, book_.next_at());
+  // A pass that can not be made now is made when the store answers.
+  if (!book_.loaded() || releasing_ || !writer_.store_answers()) return next;
   if (plan_due_) next = std::min(next, next_pass_at_);
   return std::min(next, std::max(next_pass_at_, planner_.next_at()));
 }
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -1,13 +1,12 @@
 /// @file
-/// Runners that restart under the same id: handling of the previous
-/// incarnation.
+/// Runners that start again under their ids: what becomes of the life before.
 //
-// The next incarnation of a runner shares no state with the previous one. All
-// state of the previous incarnation ends here, and the next one gets a new
-// object. Orders that were sent to the previous incarnation without an answer
-// may still be carried out by the next one, which is told to stop them before
-// the same task starts elsewhere. Waiting until they can no longer arrive would
-// delay the task by 12.5 s, whereas a stop takes one round trip.
+// A runner's next life holds and knows nothing of the one before. All that was
+// known of that one ends here, in one place, and the next is a new object. What
+// was sent to it and got no answer may still be carried out by the next, which
+// is told not to before the same task starts elsewhere: waiting until it can
+// not come any more would hold the task up for 12.5 s, a stop takes a round
+// trip.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -23,131 +22,130 @@
 
 namespace {
 
-bool Reports(const RunnerPolled& answer, const TaskName& name, int number) {
-  const auto matches = [&](const auto& reported) {
-    return reported.task == name && reported.run == number;
+bool Lists(const RunnerPolled& answer, const TaskName& name, int number) {
+  const auto is_it = [&](const auto& listed) {
+    return listed.task == name && listed.run == number;
   };
-  return std::any_of(answer.running.begin(), answer.running.end(), matches) ||
-         std::any_of(answer.ended.begin(), answer.ended.end(), matches);
+  return std::any_of(answer.running.begin(), answer.running.end(), is_it) ||
+         std::any_of(answer.ended.begin(), answer.ended.end(), is_it);
 }
 
 }  // namespace
 
 Scheduler::CarriedRunStatus Scheduler::ClassifyRun(TimePoint now,
-                                                   const Runner& previous,
+                                                   const Runner& before,
                                                    const TaskName& name,
                                                    const Run& run,
                                                    const RunnerPolled& answer) {
   if (NeverBegan(run.phase)) return CarriedRunStatus::kNeverStarted;
-  if (Reports(answer, name, run.number)) return CarriedRunStatus::kMayExist;
-  // `HandleUnreportedRuns` compares the run with the incarnation it was stored
-  // for.
+  if (Lists(answer, name, run.number)) return CarriedRunStatus::kMayExist;
+  // Judged by the life that it was stored for.
   if (run.phase == RunPhase::kInherited) return CarriedRunStatus::kMayExist;
-  // A start without an answer may have crashed the previous incarnation.
+  // A start without an answer may be what the life before went by.
   const bool may_start_late =
       run.phase == RunPhase::kStarting ||
-      previous.late_orders.MayArrive({name, run.number}, now);
+      before.late_orders.MayArrive({name, run.number}, now);
   return may_start_late ? CarriedRunStatus::kLostButMayStart
                         : CarriedRunStatus::kLost;
 }
 
-Runner* Scheduler::BeginIncarnation(Context& ctx, Runner* previous,
+Runner* Scheduler::BeginIncarnation(Context& ctx, Runner* before,
                                     const RunnerPolled& answer) {
-  const IncarnationId previous_incarnation = previous->incarnation();
-  std::vector<TaskName> never_started;
+  const IncarnationId old_life = before->incarnation();
+  std::vector<TaskName> never;
   std::vector<TaskName> lost;
-  std::vector<TaskName> carried;
-  std::vector<TaskName> to_cancel;
-  for (const auto& [name, run] : previous->runs()) {
-    switch (ClassifyRun(ctx.now(), *previous, name, run, answer)) {
+  std::vector<TaskName> moved;
+  std::vector<TaskName> to_bar;
+  for (const auto& [name, run] : before->runs()) {
+    switch (ClassifyRun(ctx.now(), *before, name, run, answer)) {
       case CarriedRunStatus::kNeverStarted:
-        never_started.push_back(name);
+        never.push_back(name);
         break;
       case CarriedRunStatus::kLost:
         lost.push_back(name);
         break;
       case CarriedRunStatus::kLostButMayStart:
         lost.push_back(name);
-        to_cancel.push_back(name);
+        to_bar.push_back(name);
         break;
       case CarriedRunStatus::kMayExist:
-        carried.push_back(name);
+        moved.push_back(name);
         break;
     }
   }
   ctx.Log(LogId::kRunnerBegan,
-          {{"runner", previous_incarnation.runner.value()},
+          {{"runner", old_life.runner.value()},
            {"born", ToString(answer.start_time)},
-           {"before", ToString(previous_incarnation.start_time)},
-           {"lives", std::to_string(previous->incarnations() + 1)},
+           {"before", ToString(old_life.start_time)},
+           {"lives", std::to_string(before->incarnations() + 1)},
            {"lost", std::to_string(lost.size())},
-           {"kept", std::to_string(carried.size())},
-           {"to_be_ruled_out", std::to_string(to_cancel.size())}});
-  const RunnerLossCause cause = previous->LeftAsAnnounced()
-                                    ? RunnerLossCause::kLeft
-                                    : RunnerLossCause::kCrashed;
-  MarkRunsLost(ctx, previous, lost, cause, to_cancel);
-  for (const TaskName& name : never_started) {
-    EndRun(ctx, previous, name, RunEnd::kRejected, "");
+           {"kept", std::to_string(moved.size())},
+           {"to_be_ruled_out", std::to_string(to_bar.size())}});
+  const RunnerLossCause how = before->LeftAsAnnounced()
+                                  ? RunnerLossCause::kLeft
+                                  : RunnerLossCause::kCrashed;
+  MarkRunsLost(ctx, before, lost, how, to_bar);
+  for (const TaskName& name : never) {
+    EndRun(ctx, before, name, RunEnd::kRejected, "");
     StopGang(ctx, name);
   }
-  ResolveLosses(ctx, previous_incarnation, IncarnationFate::kCrashed);
-  Runner* next = CarryOverRuns(ctx, previous, carried, to_cancel, answer);
+  ResolveLosses(ctx, old_life, IncarnationFate::kCrashed);
+  Runner* next = CarryOverRuns(ctx, before, moved, to_bar, answer);
   plan_due_ = true;
   return next;
 }
 
-Runner* Scheduler::CarryOverRuns(Context& ctx, Runner* previous,
-                                 const std::vector<TaskName>& carried,
-                                 const std::vector<TaskName>& to_cancel,
+Runner* Scheduler::CarryOverRuns(Context& ctx, Runner* before,
+                                 const std::vector<TaskName>& moved,
+                                 const std::vector<TaskName>& to_bar,
                                  const RunnerPolled& answer) {
-  // Ending the other runs may have ended members of their gangs here.
-  const auto runs_present = [previous](const std::vector<TaskName>& names) {
+  // Ending runs may have ended members of their gangs here.
+  const auto those_there = [before](const std::vector<TaskName>& names) {
     std::vector<std::pair<TaskName, Run>> runs;
     for (const TaskName& name : names) {
-      const auto found = previous->runs().find(name);
-      if (found != previous->runs().end()) runs.emplace_back(*found);
+      const auto found = before->runs().find(name);
+      if (found != before->runs().end()) runs.emplace_back(*found);
     }
     return runs;
   };
-  const auto carried_runs = runs_present(carried);
-  const auto runs_to_cancel = runs_present(to_cancel);
-  Runner* next = ReplaceIncarnation(ctx.now(), previous, answer.start_time);
-  for (const auto& [name, run] : carried_runs) {
+  const auto runs_there = those_there(moved);
+  const auto runs_to_bar = those_there(to_bar);
+  Runner* next = ReplaceIncarnation(ctx.now(), before, answer.start_time);
+  for (const auto& [name, run] : runs_there) {
     AddCarriedRun(ctx, next, name, run, false);
   }
-  for (const auto& [name, run] : runs_to_cancel) {
+  for (const auto& [name, run] : runs_to_bar) {
     AddCarriedRun(ctx, next, name, run, true);
   }
-  for (const TaskName& name : to_cancel) RequestStop(ctx, next, name);
+  for (const TaskName& name : to_bar) RequestStop(ctx, next, name);
   CancelLateStarts(ctx, next);
   return next;
 }
 
-Runner* Scheduler::ReplaceIncarnation(TimePoint now, Runner* previous,
+Runner* Scheduler::ReplaceIncarnation(TimePoint now, Runner* before,
                                       StartTime start_time) {
-  const bool start_in_flight = std::any_of(
-      previous->runs().begin(), previous->runs().end(), [](const auto& entry) {
+  const bool start_under_way = std::any_of(
+      before->runs().begin(), before->runs().end(), [](const auto& entry) {
         return entry.second.phase == RunPhase::kStarting;
       });
-  if (start_in_flight) {
-    previous->late_orders.RecordGrant(now + options_.late_order_window);
+  if (start_under_way) {
+    before->late_orders.RecordGrant(now + options_.late_order_window);
   }
-  const bool poll_grants_lease = previous->poll_grants_lease;
-  const TimePoint poll_sent_at = previous->poll_sent_at;
-  const PollNumber poll_number = previous->poll_number;
-  Runner* next = fleet_.StartIncarnation(previous, start_time, now);
-  // The poll whose answer revealed the next incarnation counts as its first.
+  const bool granted_now = before->poll_grants_lease;
+  const TimePoint poll_sent_at = before->poll_sent_at;
+  const PollNumber poll_number = before->poll_number;
+  Runner* next = fleet_.StartIncarnation(before, start_time, now);
+  // The look that told of it is its first one.
   next->poll_sent_at = poll_sent_at;
   next->poll_number = poll_number;
-  next->RecordLateGrant(poll_grants_lease ? now : TimePoint(),
+  next->RecordLateGrant(granted_now ? now : TimePoint(),
                         options_.fleet.longest_lease);
   return next;
 }
 
 void Scheduler::AddCarriedRun(Context& ctx, Runner* next, const TaskName& name,
                               Run run, bool lost) {
-  // Times and progress from the previous incarnation do not apply to the next.
+  // Its old life's time and progress say nothing here.
   if (run.phase != RunPhase::kInherited) run.phase = RunPhase::kUnconfirmed;
   run.counted_as_lost = run.counted_as_lost || lost;
   run.stop = StopRequest();
@@ -160,21 +158,20 @@
   run.progressed_at = ctx.now();
   run.pace_measured_from = TimePoint();
   next->Add(name, run);
-  Job* job = jobs_.Find(name.job);
-  // The stored row of a run from an even earlier incarnation keeps naming that
-  // one, until the run is resolved.
+  Job* job = book_.Find(name.job);
+  // The row of a run that is still to be judged goes on naming its life.
   if (job == nullptr || IsOfEarlierIncarnation(*next, run)) return;
   job->MoveRun(name, run.number, next->incarnation());
-  MarkProgressDirty(name.job);
+  MarkProgressChanged(name.job);
 }
 
 void Scheduler::CancelLateStarts(Context& ctx, Runner* next) {
   for (const auto& [key, start] :
        next->late_orders.StartsArrivingAfter(ctx.now())) {
     if (next->FindRun(key.first, key.second) != nullptr) continue;
-    OrphanedRun& orphan = next->AddOrphan(key, start.need);
-    orphan.may_start_late = true;
-    orphan.stop.Request(ctx.now(), options_.stop_retry_interval);
+    OrphanedRun& orphans = next->AddOrphan(key, start.need);
+    orphans.may_start_late = true;
+    orphans.stop.Request(ctx.now(), options_.stop_retry_interval);
   }
   orders_due_.insert(next->id());
 }
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -1,9 +1,9 @@
 /// @file
-/// Runs that were lost with their runners, and what they imply for their tasks.
+/// Runs that went with their runners: what they tell against their tasks.
 //
-// A task may crash every runner that starts it, together with all other runs
-// there. Such a run never ends as a failure, because no runner is left to
-// report one. Therefore the runners that the task loses are counted.
+// A task may crash every runner that starts it, with all that runs there. It
+// ends as no failure, since nobody is left to tell of it: what is counted is
+// that its runners went.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// Describes a lost runner and the recent starts that may explain its loss.
+/// What the runs there tell of a runner's end.
 LostRunner DescribeLostRunner(const Runner& runner, TimePoint silent_since,
                               const LossRules& rules) {
   LostRunner lost;
@@ -36,7 +36,7 @@
   return lost;
 }
 
-/// Whether the incarnation is alive, for logs.
+/// Whether it lives, for logs.
 const char* ToString(IncarnationFate fate) {
   switch (fate) {
     case IncarnationFate::kAlive:
@@ -44,19 +44,19 @@
     case IncarnationFate::kCrashed:
       return "no";
     case IncarnationFate::kPresumedCrashed:
-      return "never heard from";
+      return "never heard of";
   }
   return "";
 }
 
-/// The incarnation that the run was started on.
-IncarnationId IncarnationOf(const Runner& runner, const Run& run) {
-  const bool of_previous = IsOfEarlierIncarnation(runner, run);
-  return {runner.id(), of_previous ? run.stored_incarnation
-                                   : runner.incarnation().start_time};
+/// The life that the run was started on.
+IncarnationId LifeOf(const Runner& runner, const Run& run) {
+  const bool before = IsOfEarlierIncarnation(runner, run);
+  return {runner.id(),
+          before ? run.stored_incarnation : runner.incarnation().start_time};
 }
 
-/// Lists losses as "RUN@RUNNER", for logs.
+/// "RUN@RUNNER" of each, for logs.
 std::string ListLosses(const std::vector<RunLoss>& losses) {
   std::string text;
   for (const RunLoss& loss : losses) {
@@ -68,8 +68,8 @@
 
 }  // namespace
 
-const char* ToString(RunnerLossCause cause) {
-  switch (cause) {
+const char* ToString(RunnerLossCause end) {
+  switch (end) {
     case RunnerLossCause::kCrashed:
       return "crashed";
     case RunnerLossCause::kLeft:
@@ -82,21 +82,21 @@
 
 void Scheduler::MarkRunsLost(Context& ctx, Runner* runner,
                              const std::vector<TaskName>& names,
-                             RunnerLossCause cause,
-                             const std::vector<TaskName>& later) {
+                             RunnerLossCause how,
+                             const std::vector<TaskName>& held) {
   RunnerLoss loss;
-  loss.cause = cause;
+  loss.how = how;
   loss.silent_since = runner->silent_since().value_or(ctx.now());
-  if (cause != RunnerLossCause::kLeft && !runner->ended) {
+  if (how != RunnerLossCause::kLeft && !runner->ended) {
     losses_.AddLostRunner(
-        DescribeLostRunner(*runner, loss.silent_since, options_.loss));
+        DescribeLostRunner(*runner, loss.silent_since, options_.losses));
   }
-  // Computed once for all runs, since it iterates over all runners.
+  // Once for all runs: it looks at every runner.
   if (!names.empty()) loss.correlated = IsCorrelatedLoss(*runner);
   for (const TaskName& name : names) {
     RecordLostRun(ctx, *runner, name, loss);
     runner->presumed_over.insert({name, runner->runs().at(name).number});
-    if (std::find(later.begin(), later.end(), name) != later.end()) continue;
+    if (std::find(held.begin(), held.end(), name) != held.end()) continue;
     EndRun(ctx, runner, name, RunEnd::kLeaseExpired, "");
     StopGang(ctx, name);
   }
@@ -112,9 +112,9 @@
       {{"task", ToString(name)},
        {"run", std::to_string(run.number)},
        {"runner", runner.id().value()},
-       {"born", ToString(IncarnationOf(runner, run).start_time)},
+       {"born", ToString(LifeOf(runner, run).start_time)},
        {"lasted_ms", lasted.has_value() ? std::to_string(lasted->ms()) : ""},
-       {"runner_end", ToString(loss.cause)},
+       {"runner_end", ToString(loss.how)},
        {"with_others", loss.correlated ? "yes" : "no"}});
   CountLoss(ctx, runner, name, run, loss);
 }
@@ -122,59 +122,59 @@
 void Scheduler::CountLoss(Context& ctx, const Runner& runner,
                           const TaskName& name, const Run& run,
                           const RunnerLoss& loss) {
-  Job* job = jobs_.Find(name.job);
-  if (job == nullptr || loss.cause == RunnerLossCause::kLeft) return;
-  // A run that never began can not have crashed its runner, and a start that
-  // may arrive late counts only once.
+  Job* job = book_.Find(name.job);
+  if (job == nullptr || loss.how == RunnerLossCause::kLeft) return;
+  // What never began can not have crashed its runner, and one start that may
+  // come late counts once.
   if (NeverBegan(run.phase) || run.counted_as_lost) return;
   const std::optional<Duration> lasted =
       TimeUntilSilence(run, loss.silent_since);
-  const bool soon = lasted.has_value() && *lasted <= options_.loss.soon;
+  const bool soon = lasted.has_value() && *lasted <= options_.losses.soon;
   RunLoss lost;
   lost.run = run.number;
-  lost.incarnation = IncarnationOf(runner, run);
+  lost.incarnation = LifeOf(runner, run);
   lost.address = runner.info().address;
   lost.lasted = lasted.value_or(Duration(0));
-  lost.crashed = loss.cause == RunnerLossCause::kCrashed;
-  // A start without an answer may never have been carried out. Two of them lost
-  // with their runners are no reason to fail a task.
+  lost.crashed = loss.how == RunnerLossCause::kCrashed;
+  // A start without an answer may never have been carried out: that two of them
+  // went with their runners is no ground to give a task up.
   const bool began = run.phase == RunPhase::kRunning;
   lost.suspicious = began && soon && !loss.correlated;
-  job->DropOutlivedLosses(name, lost.lasted, options_.loss);
+  job->DropOutlivedLosses(name, lost.lasted, options_.losses);
   if (!job->RecordLoss(name, lost)) return;
   if (lost.crashed) return;
-  losses_.AddUnresolved(name, lost, ListedStartTime(lost.incarnation),
-                        ctx.now());
+  losses_.AddUnresolved(name, lost, ListedBirth(lost.incarnation), ctx.now());
 }
 
 bool Scheduler::IsCorrelatedLoss(const Runner& runner) const {
   if (!runner.silent_since().has_value()) return false;
-  const LossRules& rules = options_.loss;
-  const TimePoint silent_since = *runner.silent_since();
-  std::vector<LostRunner> lost = losses_.LostNear(silent_since);
+  const LossRules& rules = options_.losses;
+  const TimePoint moment = *runner.silent_since();
+  std::vector<LostRunner> lost = losses_.LostNear(moment);
   std::set<IncarnationId> known;
   for (const LostRunner& other : lost) known.insert(other.incarnation);
   for (const auto& [id, other] : fleet_.runners()) {
     const std::optional<TimePoint> since = other->silent_since();
     if (!since.has_value() || other->LeftAsAnnounced()) continue;
-    const bool same_time = *since <= silent_since + rules.same_moment &&
-                           silent_since <= *since + rules.same_moment;
-    if (!same_time || !known.insert(other->incarnation()).second) continue;
+    const bool same_moment = *since <= moment + rules.same_moment &&
+                             moment <= *since + rules.same_moment;
+    if (!same_moment || !known.insert(other->incarnation()).second) continue;
     lost.push_back(DescribeLostRunner(*other, *since, rules));
   }
   return CountUnexplained(lost) >= rules.min_unexplained_crashes;
 }
 
-void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& lost,
+void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& incarnation,
                               IncarnationFate fate) {
-  for (const TaskName& name : losses_.Resolve(lost)) {
-    Job* job = jobs_.Find(name.job);
-    if (job == nullptr || !job->ResolveLosses(name, lost, fate)) continue;
+  for (const TaskName& name : losses_.Resolve(incarnation)) {
+    Job* job = book_.Find(name.job);
+    if (job == nullptr || !job->ResolveLosses(name, incarnation, fate))
+      continue;
     ctx.Log(LogId::kLossSettled, {{"task", ToString(name)},
-                                  {"runner", lost.runner.value()},
-                                  {"born", ToString(lost.start_time)},
+                                  {"runner", incarnation.runner.value()},
+                                  {"born", ToString(incarnation.start_time)},
                                   {"lives", ToString(fate)}});
-    MarkProgressDirty(name.job);
+    MarkProgressChanged(name.job);
     ApplyLossPolicy(ctx, name);
     plan_due_ = true;
   }
@@ -199,11 +199,11 @@
 }
 
 void Scheduler::ApplyLossPolicy(Context& ctx, const TaskName& name) {
-  Job* job = jobs_.Find(name.job);
+  Job* job = book_.Find(name.job);
   if (job == nullptr) return;
   Task* task = job->Find(name);
   const LossVerdict verdict =
-      EvaluateLosses(task->losses, task->run, options_.loss);
+      EvaluateLosses(task->losses, task->run, options_.losses);
   task->held_back = verdict == LossVerdict::kMustWait;
   if (verdict != LossVerdict::kGivenUp || !job->FailWaitingTask(name)) return;
   ctx.Log(LogId::kTaskGivenUp, {{"job", name.job.value()},
@@ -224,7 +224,7 @@
         if (!task.losses.empty()) lost.push_back(name);
         for (const RunLoss& loss : task.losses) {
           if (loss.crashed) continue;
-          losses_.AddUnresolved(name, loss, ListedStartTime(loss.incarnation),
+          losses_.AddUnresolved(name, loss, ListedBirth(loss.incarnation),
                                 ctx.now());
         }
       }
@@ -238,12 +238,12 @@
   fleet_.HandleAnswer(runner, ctx.now(), clock_ms);
   if (!losses_.HasUnresolved()) return;
   ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kAlive);
-  // An incarnation that was followed by another one is no longer running.
-  for (const IncarnationId& predecessor :
+  // One that was followed by another does not live on.
+  for (const IncarnationId& before :
        losses_.EarlierIncarnations(runner->incarnation())) {
-    ResolveLosses(ctx, predecessor,
-                  IsReported(predecessor.start_time) ? IncarnationFate::kCrashed
-                                                     : IncarnationFate::kAlive);
+    ResolveLosses(ctx, before,
+                  IsReported(before.start_time) ? IncarnationFate::kCrashed
+                                                : IncarnationFate::kAlive);
   }
 }
 
@@ -253,7 +253,7 @@
   RecordContact(ctx, runner, clock_ms);
 }
 
-StartTime Scheduler::ListedStartTime(const IncarnationId& incarnation) const {
+StartTime Scheduler::ListedBirth(const IncarnationId& incarnation) const {
   const auto found = fleet_.runners().find(incarnation.runner);
   return found == fleet_.runners().end() ? StartTime()
                                          : found->second->info().start_time;
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Orders from the scheduler to runners: which ones are sent, in which order,
-/// and which starts are dropped before they are sent.
+/// The scheduler's orders to runners: what is sent, in which order, and what is
+/// dropped before it is sent.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,38 +18,38 @@
 
 namespace {
 
-/// Describes the reason, for logs.
-const char* ToString(StartDropReason reason) {
-  switch (reason) {
+/// For people.
+const char* ToString(StartDropReason obstacle) {
+  switch (obstacle) {
     case StartDropReason::kJobFinished:
-      return "its job has ended";
+      return "its job is over";
     case StartDropReason::kGangEnded:
-      return "its gang's run has ended";
+      return "its gang's run is over";
     case StartDropReason::kStopping:
-      return "a stop was requested";
+      return "it is to stop";
     case StartDropReason::kReleasing:
-      return "the scheduler is releasing its lease";
-    case StartDropReason::kRunnerLeaving:
-      return "its runner is shutting down";
+      return "another process is to schedule";
+    case StartDropReason::kRunnerDraining:
+      return "its runner leaves";
     case StartDropReason::kHallDraining:
-      return "its runner's hall is being drained";
+      return "its runner's hall is to be emptied";
     case StartDropReason::kRunnerUnreachable:
-      return "its runner does not answer";
+      return "its runner is silent";
     case StartDropReason::kTicketExpired:
-      return "its ticket has expired";
+      return "its ticket ran out";
     case StartDropReason::kNoCapacity:
       return "its runner has no room for it any more";
     case StartDropReason::kAwaitingLeaseExpiry:
-      return "its runner's lease has to expire first";
+      return "the runner's lease is to run out";
     case StartDropReason::kCapacityUnconfirmed:
-      return "its runner's capacity was not confirmed recently";
+      return "its runner's room was not confirmed lately";
     case StartDropReason::kTaskCrashesRunners:
       return "its task crashes runners";
   }
   return "";
 }
 
-/// True if a member of the gang ended or already belongs to another run.
+/// True if a member of the gang ended, or is in another run already.
 bool HasGangEnded(const Job& job, const TaskName& name, int number) {
   if (!job.step_spec(name.step).gang) return false;
   const Step& step = job.occurrences()[name.occurrence].steps[name.step];
@@ -73,7 +73,7 @@
 }
 
 void Scheduler::SendOrders(Context& ctx) {
-  // Dropping a start may stop other members of its gang, also on other runners.
+  // What is given up may stop a gang's members, on other runners too.
   while (!orders_due_.empty()) {
     const std::set<RunnerId> due = std::move(orders_due_);
     orders_due_.clear();
@@ -84,12 +84,11 @@
   }
 }
 
-// A runner carries out its orders one after the other, and an order without an
-// answer takes a second. An order that was handed over early would be sent late
-// and based on outdated state, so only one is in flight at a time.
+// Orders to one runner are carried out one after the other, and one without an
+// answer takes a second: what is handed over early leaves late, by what was
+// known seconds before.
 void Scheduler::SendNextOrder(Context& ctx, Runner* runner) {
-  // Dropping one member's start stops the other members, possibly on this
-  // runner.
+  // Giving up one member of a gang stops the others, some of them here.
   while (DropStaleStarts(ctx, runner)) {
   }
   if (runner->order_in_flight || SendNextStop(ctx, runner)) return;
@@ -100,44 +99,43 @@
 }
 
 bool Scheduler::DropStaleStarts(Context& ctx, Runner* runner) {
-  bool any_dropped = false;
+  bool given_up = false;
   const auto waiting = std::move(runner->waiting_starts);
   runner->waiting_starts.clear();
   for (const auto& [name, number] : waiting) {
     const Run* run = runner->FindRun(name, number);
     if (run == nullptr) continue;
-    const std::optional<StartDropReason> reason =
+    const std::optional<StartDropReason> obstacle =
         FindDropReason(ctx.now(), *runner, name, *run);
-    if (!reason.has_value()) {
+    if (!obstacle.has_value()) {
       runner->waiting_starts.emplace_back(name, number);
       continue;
     }
-    any_dropped = true;
-    DropStart(ctx, runner, name, *reason);
+    given_up = true;
+    DropStart(ctx, runner, name, *obstacle);
   }
-  return any_dropped;
+  return given_up;
 }
 
 std::optional<StartDropReason> Scheduler::FindDropReason(TimePoint now,
                                                          const Runner& runner,
                                                          const TaskName& name,
                                                          const Run& run) {
-  const Job* job = jobs_.Find(name.job);
+  const Job* job = book_.Find(name.job);
   if (job == nullptr) return StartDropReason::kJobFinished;
   const Task& task =
       job->occurrences()[name.occurrence].steps[name.step].tasks[name.index];
-  // The run itself does not count as a failed start.
-  if (EvaluateLosses(task.losses, run.number - 1, options_.loss) !=
+  // The run itself is no start in vain yet.
+  if (EvaluateLosses(task.losses, run.number - 1, options_.losses) !=
       LossVerdict::kMayStart) {
     return StartDropReason::kTaskCrashesRunners;
   }
   if (run.stopping) return StartDropReason::kStopping;
-  // A gang member that starts alone would hold its capacity for seconds, only
-  // to fail.
+  // A member that starts alone holds its room for seconds, to end alone.
   if (HasGangEnded(*job, name, run.number)) return StartDropReason::kGangEnded;
   if (releasing_) return StartDropReason::kReleasing;
   if (runner.draining_since().has_value())
-    return StartDropReason::kRunnerLeaving;
+    return StartDropReason::kRunnerDraining;
   if (catalog_->drained_halls.count(runner.info().hall) != 0) {
     return StartDropReason::kHallDraining;
   }
@@ -147,24 +145,24 @@
   if (!EnforcesCapacity(runner) && !fleet_.KnowsCapacities(now)) {
     return StartDropReason::kCapacityUnconfirmed;
   }
-  const bool ticket_expired = PolicyOf(*job, *catalog_).needs_advice &&
+  const bool ticket_ran_out = PolicyOf(*job, *catalog_).needs_advice &&
                               TicketOf(now, runner, name).empty();
-  if (ticket_expired) return StartDropReason::kTicketExpired;
+  if (ticket_ran_out) return StartDropReason::kTicketExpired;
   return std::nullopt;
 }
 
 std::string Scheduler::TicketOf(TimePoint now, const Runner& runner,
                                 const TaskName& name) const {
-  return ticket_cache_.TicketFor({name.job, name.occurrence, name.step},
-                                 runner.incarnation(), now);
+  return advice_.TicketFor({name.job, name.occurrence, name.step},
+                           runner.incarnation(), now);
 }
 
 void Scheduler::DropStart(Context& ctx, Runner* runner, const TaskName& name,
-                          StartDropReason reason) {
+                          StartDropReason obstacle) {
   ctx.Log(LogId::kStartGivenUp, {{"task", ToString(name)},
                                  {"runner", runner->id().value()},
-                                 {"reason", ToString(reason)}});
-  // The start was never sent, so the run did not begin.
+                                 {"reason", ToString(obstacle)}});
+  // Nothing was sent: the run never was.
   EndRun(ctx, runner, name, RunEnd::kRejected, "");
   StopGang(ctx, name);
 }
@@ -175,9 +173,9 @@
     SendStop(ctx, runner, name, run.number, &run.stop);
     return true;
   }
-  for (auto& [run, orphan] : runner->orphans()) {
-    if (!orphan.stop.queued()) continue;
-    SendStop(ctx, runner, run.first, run.second, &orphan.stop);
+  for (auto& [run, orphans] : runner->orphans()) {
+    if (!orphans.stop.queued()) continue;
+    SendStop(ctx, runner, run.first, run.second, &orphans.stop);
     return true;
   }
   return false;
@@ -185,7 +183,7 @@
 
 void Scheduler::SendStart(Context& ctx, Runner* runner, const TaskName& name,
                           Run* run) {
-  const Job* job = jobs_.Find(name.job);
+  const Job* job = book_.Find(name.job);
   run->phase = RunPhase::kStarting;
   run->sent_at = ctx.now();
   runner->order_in_flight = true;
@@ -210,7 +208,7 @@
   ctx.Emit(StopRun{Fleet::TargetOf(*runner, writer_.epoch()), name, number});
 }
 
-void Scheduler::RecordOrderAnswered(Runner* runner) {
+void Scheduler::NoteOrderAnswered(Runner* runner) {
   runner->order_in_flight = false;
   orders_due_.insert(runner->id());
 }
@@ -222,11 +220,11 @@
   Run& run = found->second;
   run.stopping = true;
   orders_due_.insert(runner->id());
-  // A start that was not sent is dropped. A run whose start is in flight is
-  // stopped as soon as the start is answered.
-  const bool not_running =
+  // What was not sent is dropped; what is being started is stopped as soon as
+  // the start is answered.
+  const bool too_early =
       WasNeverSent(run.phase) || run.phase == RunPhase::kStarting;
-  if (not_running || runner->info().address.empty()) return;
+  if (too_early || runner->info().address.empty()) return;
   run.stop.Request(ctx.now(), options_.stop_retry_interval);
 }
 
@@ -243,7 +241,7 @@
 }
 
 void Scheduler::StopGang(Context& ctx, const TaskName& name) {
-  Job* job = jobs_.Find(name.job);
+  Job* job = book_.Find(name.job);
   if (job == nullptr || !job->step_spec(name.step).gang) return;
   const Step& step = job->occurrences()[name.occurrence].steps[name.step];
   for (std::size_t i = 0; i < step.tasks.size(); ++i) {
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Answers from runners: completed orders, polls, and the ends of runs.
+/// The runners' side of the scheduler: answers to orders, and ends.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,8 +16,8 @@
 
 namespace {
 
-// Maximum number of ends that a runner reports in one answer.
-constexpr std::size_t kMaxReportedEnds = 500;
+// A runner lists at most this many ends in one answer.
+constexpr std::size_t kMaxListedEnds = 500;
 
 }  // namespace
 
@@ -28,9 +28,9 @@
     case OrderOutcome::kFenced:
       return "fenced";
     case OrderOutcome::kStaleRun:
-      return "stale run";
+      return "old run";
     case OrderOutcome::kLeaseExpired:
-      return "lease expired";
+      return "too late";
     case OrderOutcome::kNoCapacity:
       return "no room";
     case OrderOutcome::kInvalidTicket:
@@ -40,7 +40,7 @@
     case OrderOutcome::kUnhealthy:
       return "unhealthy";
     case OrderOutcome::kOtherIncarnation:
-      return "other incarnation";
+      return "other life";
     case OrderOutcome::kNotSent:
       return "not sent";
     case OrderOutcome::kLost:
@@ -55,12 +55,12 @@
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
   if (runner == nullptr) return LeaseStatus::kHeld;
-  RecordOrderAnswered(runner);
+  NoteOrderAnswered(runner);
   RecordOrderContact(ctx, runner, answer.clock_ms);
   plan_due_ = true;
   Run* run = runner->FindRun(answer.task, answer.run);
   if (run == nullptr) return LeaseStatus::kHeld;
-  RecordLateStart(ctx.now(), runner, answer, *run);
+  NoteLateStart(ctx.now(), runner, answer, *run);
   run->answered_at = ctx.now();
   if (answer.outcome == OrderOutcome::kDone) {
     run->phase = RunPhase::kRunning;
@@ -74,12 +74,11 @@
   return LeaseStatus::kHeld;
 }
 
-void Scheduler::RecordLateStart(TimePoint now, Runner* runner,
-                                const StartRunCompleted& answer,
-                                const Run& run) {
-  const bool may_arrive_late =
+void Scheduler::NoteLateStart(TimePoint now, Runner* runner,
+                              const StartRunCompleted& answer, const Run& run) {
+  const bool open =
       answer.earlier_attempt_pending || answer.outcome == OrderOutcome::kLost;
-  if (!may_arrive_late) return;
+  if (!open) return;
   const TimePoint until = now + options_.late_order_window;
   runner->late_orders.RecordStart({answer.task, answer.run}, run.need, now,
                                   until);
@@ -93,22 +92,21 @@
                                 {"runner", answer.asked.runner.value()},
                                 {"outcome", ToString(answer.outcome)}});
   if (answer.outcome == OrderOutcome::kOtherIncarnation) {
-    // A start that another incarnation rejected never began, unless it had been
-    // sent before to the previous incarnation, which did not answer.
+    // What another life refused never began, unless it had been sent to the
+    // life before, which did not answer.
     if (runner->reachable()) run->phase = RunPhase::kRefused;
-    EndAllRuns(ctx, runner, "another incarnation answers at its address");
+    EndAllRuns(ctx, runner, "another life answers at its address");
     return;
   }
   if (answer.outcome == OrderOutcome::kLost) {
-    // The start may still be carried out: the next poll shows it, or a stop
-    // cancels it.
+    // It may still come: the next look tells, or a stop rules it out.
     run->phase = RunPhase::kUnconfirmed;
     HandleMissedAnswer(ctx, runner);
     return;
   }
   if (answer.outcome == OrderOutcome::kNotSent) HandleMissedAnswer(ctx, runner);
   if (answer.outcome == OrderOutcome::kUnhealthy) {
-    BackOff(ctx, runner, options_.unhealthy_backoff, "reported unhealthy");
+    BackOff(ctx, runner, options_.unhealthy_backoff, "not well");
   }
   if (answer.outcome == OrderOutcome::kNoCapacity) {
     BackOff(ctx, runner, options_.no_capacity_backoff, "no room");
@@ -123,18 +121,18 @@
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
   if (runner == nullptr) return LeaseStatus::kHeld;
-  RecordOrderAnswered(runner);
+  NoteOrderAnswered(runner);
   RecordOrderContact(ctx, runner, answer.clock_ms);
   if (answer.outcome == OrderOutcome::kOtherIncarnation) {
-    EndAllRuns(ctx, runner, "another incarnation answers at its address");
+    EndAllRuns(ctx, runner, "another life answers at its address");
     return LeaseStatus::kHeld;
   }
   const bool answered = answer.outcome == OrderOutcome::kDone ||
                         answer.outcome == OrderOutcome::kStaleRun;
-  const auto orphan = runner->orphans().find({answer.task, answer.run});
-  if (orphan != runner->orphans().end()) {
-    orphan->second.stop.Answered(answered);
-    if (answered) orphan->second.may_start_late = false;
+  const auto orphans = runner->orphans().find({answer.task, answer.run});
+  if (orphans != runner->orphans().end()) {
+    orphans->second.stop.Answered(answered);
+    if (answered) orphans->second.may_start_late = false;
   }
   Run* run = runner->FindRun(answer.task, answer.run);
   if (run == nullptr) return LeaseStatus::kHeld;
@@ -153,9 +151,9 @@
   const auto found = runner->runs().find(name);
   if (found == runner->runs().end()) return;
   const int number = found->second.number;
-  const Duration ran = found->second.phase == RunPhase::kRunning
-                           ? ctx.now() - found->second.started_at
-                           : Duration(0);
+  const Duration worked = found->second.phase == RunPhase::kRunning
+                              ? ctx.now() - found->second.started_at
+                              : Duration(0);
   runner->Remove(name);
   plan_due_ = true;
   ctx.Log(LogId::kRunEnded, {{"task", ToString(name)},
@@ -163,11 +161,11 @@
                              {"runner", runner->id().value()},
                              {"end", ToString(end)},
                              {"saved", checkpoint.empty() ? "" : "yes"}});
-  Job* job = jobs_.Find(name.job);
+  Job* job = book_.Find(name.job);
   if (job == nullptr) return;
-  // For a lost run, `CountLoss` compares its duration with earlier losses.
+  // A lost run is compared with those before it when it is counted.
   if (end != RunEnd::kLeaseExpired)
-    job->DropOutlivedLosses(name, ran, options_.loss);
+    job->DropOutlivedLosses(name, worked, options_.losses);
   if (!job->EndRun(name, number, end, checkpoint, MaxAttempts(*job))) return;
   UpdateJobState(ctx, job);
   ApplyLossPolicy(ctx, name);
@@ -190,29 +188,27 @@
 }
 
 void Scheduler::EndExpiredRuns(Context& ctx, Runner* runner) {
-  std::vector<TaskName> expired;
-  std::vector<TaskName> of_previous_incarnation;
+  std::vector<TaskName> lapsed;
+  std::vector<TaskName> of_life_before;
   for (const auto& [name, run] : runner->runs()) {
-    const bool may_still_start =
+    const bool may_still_come =
         run.phase == RunPhase::kUnconfirmed &&
         ctx.now() - run.answered_at < options_.late_order_window;
-    if (may_still_start) continue;
-    (IsOfEarlierIncarnation(*runner, run) ? of_previous_incarnation : expired)
+    if (may_still_come) continue;
+    (IsOfEarlierIncarnation(*runner, run) ? of_life_before : lapsed)
         .push_back(name);
   }
-  const std::size_t ended_count =
-      expired.size() + of_previous_incarnation.size();
-  if (ended_count == 0) return;
+  const std::size_t over = lapsed.size() + of_life_before.size();
+  if (over == 0) return;
   ctx.Log(LogId::kRunnerLost, {{"runner", runner->id().value()},
-                               {"reason", "its lease expired"},
-                               {"runs", std::to_string(ended_count)}});
-  // That this incarnation is shutting down says nothing about the previous one.
-  if (!of_previous_incarnation.empty()) {
-    MarkRunsLost(ctx, runner, of_previous_incarnation,
-                 RunnerLossCause::kUnknown);
+                               {"reason", "its lease is over"},
+                               {"runs", std::to_string(over)}});
+  // That this life leaves says nothing of the one before.
+  if (!of_life_before.empty()) {
+    MarkRunsLost(ctx, runner, of_life_before, RunnerLossCause::kUnknown);
   }
-  if (expired.empty()) return;
-  MarkRunsLost(ctx, runner, expired,
+  if (lapsed.empty()) return;
+  MarkRunsLost(ctx, runner, lapsed,
                runner->LeftAsAnnounced() ? RunnerLossCause::kLeft
                                          : RunnerLossCause::kUnknown);
 }
@@ -222,22 +218,20 @@
   if (answer.epoch != writer_.epoch()) return LeaseStatus::kHeld;
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
-  // A newer poll may have been sent since, because the list of runners named
-  // another incarnation.
+  // Another look may have left since, on a hint that another life is there.
   const bool is_newest =
       runner != nullptr && answer.number == runner->poll_number;
   if (!is_newest) return LeaseStatus::kHeld;
   runner->poll_in_flight = false;
   if (answer.outcome == OrderOutcome::kOtherIncarnation) {
-    EndAllRuns(ctx, runner, "another incarnation answers at its address");
+    EndAllRuns(ctx, runner, "another life answers at its address");
     return LeaseStatus::kHeld;
   }
   if (answer.outcome != OrderOutcome::kDone) {
     HandleMissedPoll(ctx, runner, answer.outcome);
     return LeaseStatus::kHeld;
   }
-  // A poll that was sent after an incarnation answered is itself answered by
-  // that incarnation or a later one.
+  // What left after a life was heard is answered by that one or a later one.
   if (answer.start_time != runner->incarnation().start_time) {
     runner = BeginIncarnation(ctx, runner, answer);
   }
@@ -250,13 +244,13 @@
   runner->delivered_acknowledgement =
       std::max(runner->delivered_acknowledgement, runner->poll_acknowledges);
   runner->next_poll_at = ctx.now();
-  const bool all_handled = HandleEnds(ctx, runner, answer.ended) &&
-                           answer.ended.size() < kMaxReportedEnds;
-  for (const ReportedRun& run : answer.running) HandleRunning(ctx, runner, run);
-  ForgetOrphans(runner, answer.running);
-  // A run that is not reported as running may be among the ends that were not
-  // handled.
-  if (all_handled) HandleUnreportedRuns(ctx, runner, answer);
+  const bool all_taken = HandleEnds(ctx, runner, answer.ended) &&
+                         answer.ended.size() < kMaxListedEnds;
+  for (const ReportedRun& run : answer.running)
+    HandleRunningRun(ctx, runner, run);
+  ForgetUnwantedRuns(runner, answer.running);
+  // What is not listed as running may be among the ends that are left.
+  if (all_taken) HandleUnlistedRuns(ctx, runner, answer);
   return LeaseStatus::kHeld;
 }
 
@@ -268,9 +262,8 @@
         std::max(runner->newest_expired_end, end.number);
   }
   for (const ReportedEnd& end : ends) {
-    if (!jobs_.HasReadPartitionOf(end.task.job)) {
-      // The runner answers a poll immediately while it has unacknowledged ends,
-      // so the next poll is delayed.
+    if (!book_.HasReadPartitionOf(end.task.job)) {
+      // An end that is not told as known would be answered at once again.
       runner->next_poll_at = ctx.now() + options_.fleet.unstored_end_wait;
       return false;
     }
@@ -287,117 +280,111 @@
   if (run == nullptr) {
     const bool presumed_over =
         runner->presumed_over.erase({end.task, end.run}) != 0;
-    if (MustDeferAcknowledgement(*runner, end, presumed_over)) {
+    if (MustDeferAcknowledgment(*runner, end, presumed_over)) {
       const TimePoint until = runner->DeferAcknowledgement(
           end.number, ctx.now(), options_.fleet.run_lease);
-      BackOff(ctx, runner, until - ctx.now(),
-              "waiting for its lease to expire");
+      BackOff(ctx, runner, until - ctx.now(), "its lease is to run out");
     }
     HandleLateEnd(ctx, *runner, end);
   } else {
     UpdateRunnerHealth(ctx, runner, end, *run);
     EndRun(ctx, runner, end.task, end.end, end.checkpoint);
   }
-  // A job that was closed just now may not be stored either.
+  // Also a job that was closed just now may not be stored yet.
   const RowKey key{kProgressTable, end.task.job.value()};
   if (!writer_.IsPending(key)) return;
   runner->unstored_ends.insert(end.number);
   writer_.RunWhenStored(key, [this, incarnation = runner->incarnation(),
                               number = end.number](Context&) {
-    Runner* runner_now = fleet_.Find(incarnation);
-    if (runner_now != nullptr) runner_now->unstored_ends.erase(number);
+    Runner* later = fleet_.Find(incarnation);
+    if (later != nullptr) later->unstored_ends.erase(number);
   });
 }
 
-// Here the runner's lease seemed to have expired, and the task continued
-// elsewhere. If the lease did expire on the runner, the platform ignores the
-// end once it is acknowledged. An expired run among the later ends proves that.
-// Without one, a late call may have renewed the lease, or the runner's clock
-// may have been stopped, so the lease has to expire first. Runs that are active
-// on the runner now must not expire with it, so nothing is deferred while there
-// are any.
-bool Scheduler::MustDeferAcknowledgement(const Runner& runner,
-                                         const ReportedEnd& end,
-                                         bool presumed_over) {
+// Its lease seemed to be over, and the task went on elsewhere. If it has really
+// run out, the end does not count once it is noted. Runs that went by it would
+// show that; without any, a call that came late may have renewed it, or the
+// runner's clock may have stood still. So it has to run out first. What runs
+// there by now must not go with it.
+bool Scheduler::MustDeferAcknowledgment(const Runner& runner,
+                                        const ReportedEnd& end,
+                                        bool presumed_over) {
   if (end.end != RunEnd::kDone && end.end != RunEnd::kFailed) return false;
   if (end.number < runner.newest_expired_end) return false;
-  const bool has_active_runs = std::any_of(
+  const bool in_use = std::any_of(
       runner.runs().begin(), runner.runs().end(), [](const auto& run) {
         return run.second.phase != RunPhase::kUnconfirmed;
       });
-  if (has_active_runs) return false;
-  Job* job = jobs_.Find(end.task.job);
+  if (in_use) return false;
+  Job* job = book_.Find(end.task.job);
   const Task* task = job == nullptr ? nullptr : job->Find(end.task);
   if (task == nullptr) return presumed_over;
-  // The platform counts a failure that was not counted here once it is
-  // acknowledged.
+  // A failure that was not counted counts for the platform once it is noted.
   const bool uncounted = presumed_over && end.end == RunEnd::kFailed;
   return uncounted || task->run > end.run;
 }
 
-// A run that counted as expired, or that the next incarnation started late, may
-// have succeeded after all. Its result is available, so another run of the task
-// would only duplicate it.
+// A run that counted as lapsed, or that a next life began late, may be done all
+// the same. Its answer is there: another run would only be a second one.
 void Scheduler::HandleLateEnd(Context& ctx, const Runner& runner,
                               const ReportedEnd& end) {
-  Job* job = jobs_.Find(end.task.job);
+  Job* job = book_.Find(end.task.job);
   if (job == nullptr || end.end != RunEnd::kDone) return;
   const Task* task = job->Find(end.task);
   if (task == nullptr || end.run > task->run) return;
-  Runner* current_runner = fleet_.Find(task->incarnation);
+  Runner* present = fleet_.Find(task->incarnation);
   if (!job->CompleteLate(end.task)) return;
   ctx.Log(LogId::kRunDoneLate,
           {{"task", ToString(end.task)},
            {"run", std::to_string(end.run)},
            {"runner", runner.id().value()},
            {"born", ToString(runner.incarnation().start_time)}});
-  // The other members of a gang fail when this run is stopped.
-  if (current_runner != nullptr) RequestStop(ctx, current_runner, end.task);
+  // Other members of a gang break when this one goes.
+  if (present != nullptr) RequestStop(ctx, present, end.task);
   UpdateJobState(ctx, job);
   plan_due_ = true;
 }
 
-void Scheduler::HandleRunning(Context& ctx, Runner* runner,
-                              const ReportedRun& reported_run) {
-  Run* run = runner->FindRun(reported_run.task, reported_run.run);
-  if (run == nullptr && !jobs_.HasReadPartitionOf(reported_run.task.job))
-    return;
+void Scheduler::HandleRunningRun(Context& ctx, Runner* runner,
+                                 const ReportedRun& listed) {
+  Run* run = runner->FindRun(listed.task, listed.run);
+  if (run == nullptr && !book_.HasReadPartitionOf(listed.task.job)) return;
   if (run == nullptr) {
-    // No task waits for this run. Polls may follow each other hundreds of times
-    // a second; sending a stop for each would delay all other orders to the
-    // runner.
+    // Nobody waits for it any more. Looks may come hundreds of times a second;
+    // a stop with each would hold up all other orders to this runner.
     runner
-        ->AddOrphan({reported_run.task, reported_run.run},
-                    NeedOfOrphan(*runner, reported_run.task))
+        ->AddOrphan({listed.task, listed.run},
+                    NeedOfUnwantedRun(*runner, listed.task))
         .stop.Request(ctx.now(), options_.stop_retry_interval);
     orders_due_.insert(runner->id());
     return;
   }
-  const bool progressed = reported_run.percent != run->percent;
-  if (progressed) run->progressed_at = ctx.now();
-  run->percent = reported_run.percent;
+  const bool moved = listed.percent != run->percent;
+  if (moved) run->progressed_at = ctx.now();
+  run->percent = listed.percent;
   if (run->phase == RunPhase::kInherited ||
       run->phase == RunPhase::kUnconfirmed) {
     run->phase = RunPhase::kRunning;
   }
-  Job* job = jobs_.Find(reported_run.task.job);
+  Job* job = book_.Find(listed.task.job);
   if (job == nullptr) {
-    RequestStop(ctx, runner, reported_run.task);
+    RequestStop(ctx, runner, listed.task);
     return;
   }
-  if (run->stopping) RequestStop(ctx, runner, reported_run.task);
-  MeasurePace(ctx, runner, job, reported_run.task, run);
-  if (reported_run.checkpoint.empty()) return;
-  job->SaveProgress(reported_run.task, reported_run.checkpoint);
+  if (run->stopping) RequestStop(ctx, runner, listed.task);
+  MeasurePace(ctx, runner, job, listed.task, run);
+  if (listed.checkpoint.empty()) return;
+  job->SaveProgress(listed.task, listed.checkpoint);
 }
 
-Resources Scheduler::NeedOfOrphan(const Runner& runner, const TaskName& name) {
-  const Job* job = jobs_.Find(name.job);
+Resources Scheduler::NeedOfUnwantedRun(const Runner& runner,
+                                       const TaskName& name) {
+  const Job* job = book_.Find(name.job);
   if (job != nullptr && job->HasStep(name.step)) {
     return job->step_spec(name.step).room();
   }
-  // The resources of a closed job's tasks are no longer known. A runner that
-  // does not enforce its capacity therefore gets no other runs beside this one.
+  // Of a job that is closed nobody knows any more what its tasks take. A runner
+  // that does not guard its room gets nothing beside it.
   return EnforcesCapacity(runner) ? Resources() : runner.info().room;
 }
 
@@ -407,46 +394,44 @@
          service->second.enforces_capacity;
 }
 
-void Scheduler::ForgetOrphans(Runner* runner,
-                              const std::vector<ReportedRun>& running) {
-  std::set<RunKey> reported;
-  for (const ReportedRun& run : running) reported.insert({run.task, run.run});
-  runner->RemoveOrphansExcept(reported);
+void Scheduler::ForgetUnwantedRuns(Runner* runner,
+                                   const std::vector<ReportedRun>& running) {
+  std::set<RunKey> there;
+  for (const ReportedRun& run : running) there.insert({run.task, run.run});
+  runner->RemoveOrphansExcept(there);
 }
 
-void Scheduler::HandleUnreportedRuns(Context& ctx, Runner* runner,
-                                     const RunnerPolled& answer) {
+void Scheduler::HandleUnlistedRuns(Context& ctx, Runner* runner,
+                                   const RunnerPolled& answer) {
   std::set<TaskName> running;
   for (const ReportedRun& run : answer.running) running.insert(run.task);
   std::vector<TaskName> lost;
-  std::vector<TaskName> unreported;
-  std::vector<TaskName> unconfirmed;
+  std::vector<TaskName> lapsed;
+  std::vector<TaskName> unsure;
   for (const auto& [name, run] : runner->runs()) {
     if (running.count(name) != 0) continue;
-    // The poll may have been sent before the order was carried out.
+    // The look may have left before the order was carried out.
     if (run.answered_at >= runner->poll_sent_at) continue;
     if (WasNeverSent(run.phase) || run.phase == RunPhase::kStarting) continue;
-    const bool may_still_start =
+    const bool may_still_come =
         run.phase == RunPhase::kUnconfirmed && !run.stop_answered;
-    if (may_still_start) {
-      unconfirmed.push_back(name);
+    if (may_still_come) {
+      unsure.push_back(name);
     } else {
-      (IsOfEarlierIncarnation(*runner, run) ? lost : unreported)
-          .push_back(name);
+      (IsOfEarlierIncarnation(*runner, run) ? lost : lapsed).push_back(name);
     }
   }
-  // These runs were started by a previous scheduler on an earlier incarnation,
-  // and were lost with it.
+  // An earlier life went with what an earlier scheduler started on it.
   if (!lost.empty()) MarkRunsLost(ctx, runner, lost, RunnerLossCause::kCrashed);
-  for (const TaskName& name : unreported) EndUnreportedRun(ctx, runner, name);
-  for (const TaskName& name : unconfirmed) {
+  for (const TaskName& name : lapsed) EndUnlistedRun(ctx, runner, name);
+  for (const TaskName& name : unsure) {
     RequestStop(ctx, runner, name);
     StopGang(ctx, name);
   }
 }
 
-void Scheduler::EndUnreportedRun(Context& ctx, Runner* runner,
-                                 const TaskName& name) {
+void Scheduler::EndUnlistedRun(Context& ctx, Runner* runner,
+                               const TaskName& name) {
   const auto found = runner->runs().find(name);
   if (found == runner->runs().end()) return;
   ctx.Log(LogId::kRunNotListed,
