--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -267,7 +267,7 @@
   /// The same for an order's answer, which does not tell the life that gave it.
   void RecordOrderContact(Context& ctx, Runner* runner, std::int64_t clock_ms);
   /// The birth that the entry of a life's runner tells now.
-  StartTime ListedBirth(const IncarnationId& incarnation) const;
+  StartTime ListedStartTime(const IncarnationId& incarnation) const;
 
   // Lives (scheduler_lives.cc).
   /// What a run of the life before is to the next one.
@@ -291,7 +291,7 @@
   /// Puts the next life in its place, with the runs that it may hold.
   Runner* CarryOverRuns(Context& ctx, Runner* before,
                         const std::vector<TaskName>& moved,
-                        const std::vector<TaskName>& to_bar,
+                        const std::vector<TaskName>& to_cancel,
                         const RunnerPolled& answer);
   /// Ends the object of the life before; returns that of the next, which no run
   /// is on yet.
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -55,7 +55,7 @@
   std::vector<TaskName> never;
   std::vector<TaskName> lost;
   std::vector<TaskName> moved;
-  std::vector<TaskName> to_bar;
+  std::vector<TaskName> to_cancel;
   for (const auto& [name, run] : before->runs()) {
     switch (ClassifyRun(ctx.now(), *before, name, run, answer)) {
       case CarriedRunStatus::kNeverStarted:
@@ -66,7 +66,7 @@
         break;
       case CarriedRunStatus::kLostButMayStart:
         lost.push_back(name);
-        to_bar.push_back(name);
+        to_cancel.push_back(name);
         break;
       case CarriedRunStatus::kMayExist:
         moved.push_back(name);
@@ -80,24 +80,24 @@
            {"lives", std::to_string(before->incarnations() + 1)},
            {"lost", std::to_string(lost.size())},
            {"kept", std::to_string(moved.size())},
-           {"to_be_ruled_out", std::to_string(to_bar.size())}});
-  const RunnerLossCause how = before->LeftAsAnnounced()
-                                  ? RunnerLossCause::kLeft
-                                  : RunnerLossCause::kCrashed;
-  MarkRunsLost(ctx, before, lost, how, to_bar);
+           {"to_be_ruled_out", std::to_string(to_cancel.size())}});
+  const RunnerLossCause cause = before->LeftAsAnnounced()
+                                    ? RunnerLossCause::kLeft
+                                    : RunnerLossCause::kCrashed;
+  MarkRunsLost(ctx, before, lost, cause, to_cancel);
   for (const TaskName& name : never) {
     EndRun(ctx, before, name, RunEnd::kRejected, "");
     StopGang(ctx, name);
   }
   ResolveLosses(ctx, old_life, IncarnationFate::kCrashed);
-  Runner* next = CarryOverRuns(ctx, before, moved, to_bar, answer);
+  Runner* next = CarryOverRuns(ctx, before, moved, to_cancel, answer);
   plan_due_ = true;
   return next;
 }
 
 Runner* Scheduler::CarryOverRuns(Context& ctx, Runner* before,
                                  const std::vector<TaskName>& moved,
-                                 const std::vector<TaskName>& to_bar,
+                                 const std::vector<TaskName>& to_cancel,
                                  const RunnerPolled& answer) {
   // Ending runs may have ended members of their gangs here.
   const auto those_there = [before](const std::vector<TaskName>& names) {
@@ -109,15 +109,15 @@
     return runs;
   };
   const auto runs_there = those_there(moved);
-  const auto runs_to_bar = those_there(to_bar);
+  const auto runs_to_cancel = those_there(to_cancel);
   Runner* next = ReplaceIncarnation(ctx.now(), before, answer.start_time);
   for (const auto& [name, run] : runs_there) {
     AddCarriedRun(ctx, next, name, run, false);
   }
-  for (const auto& [name, run] : runs_to_bar) {
+  for (const auto& [name, run] : runs_to_cancel) {
     AddCarriedRun(ctx, next, name, run, true);
   }
-  for (const TaskName& name : to_bar) RequestStop(ctx, next, name);
+  for (const TaskName& name : to_cancel) RequestStop(ctx, next, name);
   CancelLateStarts(ctx, next);
   return next;
 }
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -82,12 +82,12 @@
 
 void Scheduler::MarkRunsLost(Context& ctx, Runner* runner,
                              const std::vector<TaskName>& names,
-                             RunnerLossCause how,
+                             RunnerLossCause cause,
                              const std::vector<TaskName>& held) {
   RunnerLoss loss;
-  loss.how = how;
+  loss.cause = cause;
   loss.silent_since = runner->silent_since().value_or(ctx.now());
-  if (how != RunnerLossCause::kLeft && !runner->ended) {
+  if (cause != RunnerLossCause::kLeft && !runner->ended) {
     losses_.AddLostRunner(
         DescribeLostRunner(*runner, loss.silent_since, options_.losses));
   }
@@ -114,7 +114,7 @@
        {"runner", runner.id().value()},
        {"born", ToString(LifeOf(runner, run).start_time)},
        {"lasted_ms", lasted.has_value() ? std::to_string(lasted->ms()) : ""},
-       {"runner_end", ToString(loss.how)},
+       {"runner_end", ToString(loss.cause)},
        {"with_others", loss.correlated ? "yes" : "no"}});
   CountLoss(ctx, runner, name, run, loss);
 }
@@ -123,7 +123,7 @@
                           const TaskName& name, const Run& run,
                           const RunnerLoss& loss) {
   Job* job = book_.Find(name.job);
-  if (job == nullptr || loss.how == RunnerLossCause::kLeft) return;
+  if (job == nullptr || loss.cause == RunnerLossCause::kLeft) return;
   // What never began can not have crashed its runner, and one start that may
   // come late counts once.
   if (NeverBegan(run.phase) || run.counted_as_lost) return;
@@ -135,7 +135,7 @@
   lost.incarnation = LifeOf(runner, run);
   lost.address = runner.info().address;
   lost.lasted = lasted.value_or(Duration(0));
-  lost.crashed = loss.how == RunnerLossCause::kCrashed;
+  lost.crashed = loss.cause == RunnerLossCause::kCrashed;
   // A start without an answer may never have been carried out: that two of them
   // went with their runners is no ground to give a task up.
   const bool began = run.phase == RunPhase::kRunning;
@@ -143,7 +143,8 @@
   job->DropOutlivedLosses(name, lost.lasted, options_.losses);
   if (!job->RecordLoss(name, lost)) return;
   if (lost.crashed) return;
-  losses_.AddUnresolved(name, lost, ListedBirth(lost.incarnation), ctx.now());
+  losses_.AddUnresolved(name, lost, ListedStartTime(lost.incarnation),
+                        ctx.now());
 }
 
 bool Scheduler::IsCorrelatedLoss(const Runner& runner) const {
@@ -224,7 +225,7 @@
         if (!task.losses.empty()) lost.push_back(name);
         for (const RunLoss& loss : task.losses) {
           if (loss.crashed) continue;
-          losses_.AddUnresolved(name, loss, ListedBirth(loss.incarnation),
+          losses_.AddUnresolved(name, loss, ListedStartTime(loss.incarnation),
                                 ctx.now());
         }
       }
@@ -253,7 +254,7 @@
   RecordContact(ctx, runner, clock_ms);
 }
 
-StartTime Scheduler::ListedBirth(const IncarnationId& incarnation) const {
+StartTime Scheduler::ListedStartTime(const IncarnationId& incarnation) const {
   const auto found = fleet_.runners().find(incarnation.runner);
   return found == fleet_.runners().end() ? StartTime()
                                          : found->second->info().start_time;
