--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -1,6 +1,6 @@
 /// @file
-/// The one scheduler of all runners: the life of each run from its decision to
-/// its stored end, also across take-overs, lost answers and outages.
+/// The scheduler of all runners: tracks each run from its assignment to its
+/// stored end, across take-overs, lost answers and outages.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -26,7 +26,7 @@
 
 namespace limeledge::dispatch {
 
-/// Timing of the scheduler beyond that of its parts.
+/// Options of the scheduler and its parts.
 struct SchedulerOptions {
   FleetOptions fleet;
   PlannerOptions planner;
@@ -34,66 +34,70 @@
   JobRegistryOptions job_registry;
   JobCleanerOptions cleaner;
   LossRules loss;
-  /// Shortest time between two passes of the planner, and what is added for
-  /// each hundred steps that the last one tried: some five times what such a
-  /// pass takes on half a core.
+  /// Minimum time between two planning passes, plus an extra delay for each
+  /// hundred steps that the last pass tried. The delay is about five times what
+  /// such a pass takes on half a core.
   Duration min_pass_interval{20};
   Duration pass_interval_per_hundred_steps{80};
-  /// Longest time between two passes while tasks wait.
+  /// Maximum time between two planning passes while tasks wait.
   Duration max_pass_interval{250};
-  /// A runner that rejected a start for want of room is asked anew first.
+  /// How long a runner gets no placements after it rejected a start for lack of
+  /// capacity, so that it is polled first.
   Duration no_capacity_backoff{400};
-  /// Rest of a runner that is not well, or failed runs of two jobs in a row;
-  /// doubles with each further failure up to the second.
+  /// How long a runner gets no placements when it is unhealthy or when runs of
+  /// two different jobs failed on it in a row. Doubles with each further
+  /// failure, up to the maximum.
   Duration unhealthy_backoff{2000};
   Duration max_unhealthy_backoff{16000};
-  /// A stop that showed no effect is sent again after this; longer than a
-  /// runner takes to stop.
+  /// A stop without effect is sent again after this time, which exceeds the
+  /// time that a runner takes to stop a run.
   Duration stop_retry_interval{1500};
-  /// An order without an answer may be carried out for so long, whatever end
-  /// of the lease it names: twelve seconds at most, and some for the clocks.
+  /// How long an order without an answer may still be carried out, whatever
+  /// lease end it names: at most twelve seconds, plus a margin for clock skew.
   Duration late_order_window{12500};
-  /// A run that fails within this, or within such a part of its time, tells of
-  /// its runner: jobs that can not be done fail at any time of their run,
-  /// broken runners at once.
+  /// A failure within this time, or within this part of the run's expected
+  /// duration, counts against the runner: broken runners fail runs immediately,
+  /// whereas a faulty job fails at any time.
   Duration early_failure_limit{400};
   int early_failure_percent = 5;
-  /// Others are used first for so long after a run failed on a runner: longer
-  /// than runners that fail all they start usually do so.
+  /// How long other runners are preferred after a run failed on a runner.
+  /// Exceeds the time for which runners that fail everything usually do so.
   Duration failure_penalty{8000};
-  /// A run whose progress stands still for this long is moved elsewhere.
+  /// A run without progress for this long is stopped and restarted elsewhere.
   Duration stall_timeout{3000};
-  /// More patience for long runs: the expected time of so many percent, since
-  /// a slow runner takes six times as long for each.
+  /// Added to `stall_timeout`, as a percentage of the run's expected duration:
+  /// a slow runner takes six times as long for each percent.
   int stall_timeout_percent = 8;
-  /// Rest of a runner on which a run stands still.
+  /// How long a runner with a stalled run gets no placements.
   Duration stall_backoff{4000};
-  /// Progress over at least this time tells a run's pace.
+  /// Minimum time over which a run's pace is measured.
   Duration min_pace_interval{600};
-  /// A run that is this much slower than expected, on a runner that counts as
-  /// slow, is moved if it would go on for this many times its whole expected
-  /// time, and a stop more.
+  /// A run is moved off a slow runner if its projected duration is more than
+  /// `slow_run_ratio` times the expected one, and its remaining time is at
+  /// least `min_move_gain` times the expected duration plus `move_cost`, the
+  /// time of a stop.
   double slow_run_ratio = 3.0;
   double min_move_gain = 1.5;
   Duration move_cost{500};
-  /// Runs of a task after which it is not moved any more.
+  /// A task is no longer moved after this many runs.
   int max_moves = 2;
-  /// Runs that save nothing are moved, too, off a runner that leaves before
-  /// they would end.
+  /// Whether to also move runs without checkpoints off a runner that shuts down
+  /// before they would end.
   bool move_unsaved_runs = true;
-  /// A run's length is learnt once it has done this much, in percent.
+  /// Minimum progress, in percent, at which a run's duration is used as a
+  /// sample.
   int min_learn_percent = 20;
-  /// Shortest time between two writes of the numbers of waiting jobs.
+  /// Minimum time between two writes of the counts of waiting jobs.
   Duration waiting_counts_interval{300};
-  /// How often idle accelerators are told of while steps wait: a line a second
-  /// tells for whom they were idle, and costs little.
+  /// How often idle accelerators are logged while steps wait. One line a second
+  /// shows why they were idle and costs little.
   Duration idle_accelerators_interval{1000};
 };
 
-/// Why a start that waited for its turn is not sent.
+/// Why a queued start is dropped instead of sent.
 enum class StartDropReason {
   kJobFinished,
-  /// Another member of its gang ended, or was assigned anew.
+  /// Another member of its gang ended or was assigned again.
   kGangEnded,
   kStopping,
   kReleasing,
@@ -101,50 +105,54 @@
   kHallDraining,
   kRunnerUnreachable,
   kTicketExpired,
-  /// It became known meanwhile that its runners crash.
+  /// The task was found to crash its runners after the start was queued.
   kTaskCrashesRunners,
-  /// The room shrank meanwhile.
+  /// The runner's capacity shrank after the start was queued.
   kNoCapacity,
-  /// The runner would not refuse what is too much for it, and its room was not
-  /// confirmed lately.
+  /// The runner does not enforce its capacity, which was not confirmed
+  /// recently.
   kCapacityUnconfirmed,
-  /// Its lease has to run out first.
+  /// The runner may not be granted a lease until its current one has expired.
   kAwaitingLeaseExpiry,
 };
 
-/// How a runner ended under the runs that went with it.
+/// Why a runner was lost together with its runs.
 enum class RunnerLossCause {
-  /// Another life answers at its address, and it had not said that it leaves.
+  /// Another incarnation answers at its address, and the runner had not
+  /// announced that it would shut down.
   kCrashed,
-  /// It was known to leave.
+  /// It was known to be shutting down.
   kLeft,
-  /// It does not answer; it may have crashed, or be cut off and run on.
+  /// It does not answer: it may have crashed, or be partitioned and still
+  /// running.
   kUnknown,
 };
 
-const char* ToString(RunnerLossCause end);
+const char* ToString(RunnerLossCause cause);
 
-/// What is known of a runner that is lost, for all runs that went with it.
+/// A lost runner, as recorded for each of its runs.
 struct RunnerLoss {
-  RunnerLossCause how = RunnerLossCause::kUnknown;
-  /// When it fell silent; when it was taken for lost, if it was not seen to.
+  RunnerLossCause cause = RunnerLossCause::kUnknown;
+  /// When the runner stopped answering; the time of the loss if that was not
+  /// observed.
   TimePoint silent_since;
-  /// Others fell silent with it for which no start can be to blame.
+  /// Other runners stopped answering at the same time, and no start explains
+  /// it.
   bool correlated = false;
 };
 
-/// Schedules while this node holds the lease.
+/// Schedules jobs while this node holds the scheduler lease.
 ///
 /// Thread safety: none; use it from one thread.
 class Scheduler {
  public:
-  /// `patience` outlives this object.
+  /// `patience` must outlive this object.
   Scheduler(SchedulerOptions options, const Leadership::Claimed& claimed,
             const StoreTimeout* patience, TimePoint now);
 
   enum class LeaseStatus { kHeld, kDeposed, kReleased };
 
-  /// True if the answer belongs to a call of this scheduler.
+  /// True if `ticket` belongs to a call that this scheduler made.
   bool Owns(Ticket ticket) const;
   LeaseStatus Handle(Context& ctx, const CommitCompleted& answer);
   void Handle(Context& ctx, const ReadCompleted& answer);
@@ -155,18 +163,18 @@
   LeaseStatus Handle(Context& ctx, const StopRunCompleted& answer);
   void Handle(Context& ctx, const AdviceReceived& answer);
 
-  /// The process stood still for `time`: another may schedule since. Nothing is
-  /// sent to runners, and nothing else written, until the store has confirmed
-  /// that this one still does.
+  /// Handles a pause of the process for `time`, during which another node may
+  /// have become the scheduler. Until the store confirms that this node still
+  /// is, nothing is sent to runners and only the lease is written.
   void HandleProcessPause(Context& ctx, Duration time);
-  /// Does all that is due. Call it after every event.
+  /// Does all work that is due. Call it after every event.
   void Work(Context& ctx, const Catalog& catalog);
   TimePoint next_at() const;
 
-  /// Starts nothing more and gives the lease up once all is stored.
+  /// Starts no more runs and releases the lease once all changes are stored.
   void Release();
 
-  /// Jobs and runners as they are seen now, for people.
+  /// Returns the current state of jobs and runners as JSON, for debugging.
   Json::Value Dump(TimePoint now);
 
   Epoch epoch() const { return writer_.epoch(); }
@@ -181,189 +189,201 @@
   int MaxAttempts(const Job& job) const;
   void WriteWaitingCounts(Context& ctx);
 
-  // Runs.
-  /// True if a planning pass is due and can be made now.
+  // Planning and orders.
+  /// True if a planning pass is due and possible now.
   bool IsPassDue(TimePoint now) const;
-  /// Plans, and applies what was decided.
+  /// Runs the planner and applies its decisions.
   void RunPlanningPass(Context& ctx);
   void ApplyPlan(Context& ctx, const Plan& plan);
-  /// Logs what is idle while steps wait, and for whom.
+  /// Logs idle accelerators, and what they are reserved for, while steps wait.
   void LogIdleAccelerators(Context& ctx, const Plan& plan);
-  /// Stops a run, with its gang, in favour of an urgent job.
-  void Preempt(Context& ctx, const Preemption& displaced);
-  /// Takes an assignment in; the start is sent once it is stored.
+  /// Stops a run, together with its gang, in favor of an urgent job.
+  void Preempt(Context& ctx, const Preemption& preemption);
+  /// Records an assignment; its start is queued once the assignment is stored.
   void Assign(Context& ctx, const Assignment& assignment);
-  /// Lets a stored run's start wait for its turn.
+  /// Queues the start of a run whose assignment is stored.
   void QueueStart(const TaskName& name, int run,
                   const IncarnationId& incarnation);
-  /// Sends orders to runners for which something changed.
+  /// Sends the next order to each runner in `orders_due_`.
   void SendOrders(Context& ctx);
-  /// Sends what is due first, stops before starts, unless an order is under
-  /// way. A start leaves right after it was checked; an adapter that sends it
-  /// again does so within the second after which it counts as lost.
+  /// Sends the next order to the runner, stops before starts, unless an order
+  /// is already in flight. A start is checked right before it is sent. An
+  /// adapter that sends it again does so within the one-second timeout of the
+  /// order.
   void SendNextOrder(Context& ctx, Runner* runner);
-  /// Gives up waiting starts that must not be sent any more; true if any was.
+  /// Drops queued starts that must not be sent any more; true if any was
+  /// dropped.
   bool DropStaleStarts(Context& ctx, Runner* runner);
-  /// What is against starting the run now; nothing if it may start.
+  /// Returns why the run must not start now; nothing if it may start.
   std::optional<StartDropReason> FindDropReason(TimePoint now,
                                                 const Runner& runner,
                                                 const TaskName& name,
                                                 const Run& run);
   std::string TicketOf(TimePoint now, const Runner& runner,
                        const TaskName& name) const;
-  /// Ends a run whose start was never sent, with its gang.
+  /// Ends a run whose start was never sent, and stops its gang.
   void DropStart(Context& ctx, Runner* runner, const TaskName& name,
-                 StartDropReason obstacle);
-  /// Sends a stop that waits; false if there is none.
+                 StartDropReason reason);
+  /// Sends the next requested stop; false if there is none.
   bool SendNextStop(Context& ctx, Runner* runner);
-  /// Precondition: nothing is against starting the run now.
+  /// Precondition: `FindDropReason` returns nothing for the run.
   void SendStart(Context& ctx, Runner* runner, const TaskName& name, Run* run);
   void SendStop(Context& ctx, Runner* runner, const TaskName& name, int number,
                 StopRequest* stop);
-  /// The runner's order under way was answered or lost.
+  /// Records that the order in flight was answered or lost.
   void NoteOrderAnswered(Runner* runner);
-  /// Notes a start of which a sending got no answer: it may come late.
+  /// Records a start that was sent at least once without an answer, and that
+  /// may therefore arrive late.
   void NoteLateStart(TimePoint now, Runner* runner,
                      const StartRunCompleted& answer, const Run& run);
-  /// A start that was refused, or whose outcome is not known.
+  /// Handles a start that was rejected or whose outcome is unknown.
   void HandleFailedStart(Context& ctx, Runner* runner,
                          const StartRunCompleted& answer, Run* run);
-  /// Has a run end: it is stopped, or dropped if its start was never sent.
+  /// Requests the end of a run: stops it, or drops its start if that was not
+  /// sent.
   void RequestStop(Context& ctx, Runner* runner, const TaskName& name);
   void StopJob(Context& ctx, const JobId& job);
-  /// Stops the other members of a gang's run.
+  /// Stops all members of a gang's run.
   void StopGang(Context& ctx, const TaskName& name);
   void EndRun(Context& ctx, Runner* runner, const TaskName& name, RunEnd end,
               const std::string& checkpoint);
-  /// Logs and counts a run that went with its runner.
+  /// Logs a run that was lost with its runner, and counts the loss.
   void RecordLostRun(Context& ctx, const Runner& runner, const TaskName& name,
                      const RunnerLoss& loss);
 
-  // Losses: runs that went with their runners (scheduler_losses.cc).
-  /// Notes that the runner is lost, and takes all of `names` for lost with it.
-  /// Those of `held` count as lost, and are ended later.
+  // Lost runs (scheduler_losses.cc).
+  /// Records the loss of the runner and of the runs `names`. Those also in
+  /// `held` count as lost but are ended later.
   void MarkRunsLost(Context& ctx, Runner* runner,
-                    const std::vector<TaskName>& names, RunnerLossCause how,
+                    const std::vector<TaskName>& names, RunnerLossCause cause,
                     const std::vector<TaskName>& held = {});
-  /// True if the runner fell silent together with others for which no start can
-  /// be to blame.
+  /// True if the runner stopped answering at the same time as others, and no
+  /// start explains it.
   bool IsCorrelatedLoss(const Runner& runner) const;
-  /// Counts a lost run against its task, unless nothing can be held against it.
+  /// Counts a lost run against its task, unless the task can not be the cause.
   void CountLoss(Context& ctx, const Runner& runner, const TaskName& name,
                  const Run& run, const RunnerLoss& loss);
-  /// It is known now what became of a life.
+  /// Resolves the open losses of an incarnation whose fate is now known.
   void ResolveLosses(Context& ctx, const IncarnationId& incarnation,
                      IncarnationFate fate);
-  /// Settles the losses of runners whose addresses others have taken.
+  /// Resolves the losses of incarnations whose addresses now belong to others.
   void ResolveReplacedIncarnations(Context& ctx, const RunnersListed& answer);
-  /// Settles what was in doubt for too long.
+  /// Resolves losses whose runner's fate stayed unknown for too long.
   void ResolveOverdueLosses(Context& ctx);
-  /// Takes in what the task's losses say about its next start.
+  /// Updates the task according to its losses: it may start, must wait, or
+  /// fails.
   void ApplyLossPolicy(Context& ctx, const TaskName& name);
-  /// Notes losses that an earlier scheduler stored.
+  /// Tracks losses that an earlier scheduler stored.
   void InheritLosses(Context& ctx, const Job& job);
-  /// Notes that this life of the runner answers.
+  /// Records that this incarnation of the runner answered.
   void RecordContact(Context& ctx, Runner* runner, std::int64_t clock_ms);
-  /// The same for an order's answer, which does not tell the life that gave it.
+  /// Like `RecordContact`, for the answer to an order. Such an answer does not
+  /// name the incarnation that gave it.
   void RecordOrderContact(Context& ctx, Runner* runner, std::int64_t clock_ms);
-  /// The birth that the entry of a life's runner tells now.
+  /// The start time in the current list entry of the incarnation's runner.
   StartTime ListedStartTime(const IncarnationId& incarnation) const;
 
-  // Lives (scheduler_lives.cc).
-  /// What a run of the life before is to the next one.
+  // Incarnations (scheduler_incarnations.cc).
+  /// What a run of the previous incarnation means for the next one.
   enum class CarriedRunStatus {
     kNeverStarted,
-    /// The next life lists it, or may.
+    /// The next incarnation reports the run, or may do so.
     kMayExist,
-    /// It went with the life before.
+    /// The run was lost with the previous incarnation.
     kLost,
-    /// The same, and a start of it got no answer: the next life may still carry
-    /// that out.
+    /// As `kLost`, but its start got no answer and may still be carried out by
+    /// the next incarnation.
     kLostButMayStart,
   };
-  static CarriedRunStatus ClassifyRun(TimePoint now, const Runner& before,
+  static CarriedRunStatus ClassifyRun(TimePoint now, const Runner& previous,
                                       const TaskName& name, const Run& run,
                                       const RunnerPolled& answer);
-  /// Another life of the runner answered: ends the one before, which must not
-  /// be used any more, and returns the next.
-  Runner* BeginIncarnation(Context& ctx, Runner* before,
+  /// Handles the first answer of another incarnation: replaces `previous`,
+  /// which must not be used afterwards, and returns the new object.
+  Runner* BeginIncarnation(Context& ctx, Runner* previous,
                            const RunnerPolled& answer);
-  /// Puts the next life in its place, with the runs that it may hold.
-  Runner* CarryOverRuns(Context& ctx, Runner* before,
-                        const std::vector<TaskName>& moved,
+  /// Replaces `previous` and transfers the runs that the next incarnation may
+  /// hold.
+  Runner* CarryOverRuns(Context& ctx, Runner* previous,
+                        const std::vector<TaskName>& carried,
                         const std::vector<TaskName>& to_cancel,
                         const RunnerPolled& answer);
-  /// Ends the object of the life before; returns that of the next, which no run
-  /// is on yet.
-  Runner* ReplaceIncarnation(TimePoint now, Runner* before,
+  /// Replaces the object of the previous incarnation with a new one without
+  /// runs.
+  Runner* ReplaceIncarnation(TimePoint now, Runner* previous,
                              StartTime start_time);
-  /// `lost`: the run went with the life before, and is only to be ruled out.
+  /// `lost`: the run was lost with the previous incarnation and is kept only
+  /// until its late start is cancelled.
   void AddCarriedRun(Context& ctx, Runner* next, const TaskName& name, Run run,
                      bool lost);
-  /// Has the next life told not to begin what may come late.
+  /// Requests stops for starts that may arrive late at the next incarnation.
   void CancelLateStarts(Context& ctx, Runner* next);
 
-  /// All that ran on a silent runner is over, but for starts that may still
-  /// be carried out there.
+  /// Ends all runs of a silent runner whose lease expired, except those whose
+  /// start may still be carried out.
   void EndExpiredRuns(Context& ctx, Runner* runner);
-  /// All that ran on the runner is over.
+  /// Ends all runs of a lost runner.
   void EndAllRuns(Context& ctx, Runner* runner, const char* reason);
 
   // Runners.
-  /// Takes ends in up to the first of a job that is not known yet; the runner
-  /// lists the others again. Returns true if all were taken in.
+  /// Handles reported ends up to the first one of a job that is not loaded yet;
+  /// the runner reports the others again. True if all were handled.
   bool HandleEnds(Context& ctx, Runner* runner,
                   const std::vector<ReportedEnd>& ends);
   void HandleEnd(Context& ctx, Runner* runner, const ReportedEnd& end);
-  /// True if the end of a run that nobody waits for must not be told as known
-  /// yet: the platform would hold it against the runs that its task had since.
-  /// `presumed_over`: the run was taken for over without an end.
+  /// True if the end of a superseded run must not be acknowledged yet, because
+  /// the platform would then count it against the later runs of its task.
+  /// `presumed_over`: the run was already ended here without a reported end.
   bool MustDeferAcknowledgment(const Runner& runner, const ReportedEnd& end,
                                bool presumed_over);
-  /// Takes in an end of a run that nobody waited for any more.
+  /// Handles the end of a run that is no longer tracked.
   void HandleLateEnd(Context& ctx, const Runner& runner,
                      const ReportedEnd& end);
   void HandleRunningRun(Context& ctx, Runner* runner,
                         const ReportedRun& listed);
-  /// What a run that nobody waits for takes, as far as that is known.
+  /// Resources that an unwanted run takes, as far as they are known.
   Resources NeedOfUnwantedRun(const Runner& runner, const TaskName& name);
-  /// True if the runner refuses by itself what is too much for it.
+  /// True if the runner itself rejects starts that exceed its capacity.
   bool EnforcesCapacity(const Runner& runner) const;
-  /// Forgets the stops of unwanted runs that are not there any more.
+  /// Forgets unwanted runs that the runner no longer reports.
   static void ForgetUnwantedRuns(Runner* runner,
                                  const std::vector<ReportedRun>& running);
-  /// Measures a run's pace by its progress, and learns from it.
+  /// Measures a run's pace by its progress and updates the estimates.
   void MeasurePace(Context& ctx, Runner* runner, Job* job, const TaskName& name,
                    Run* run);
-  /// Compares a run's `length`, in milliseconds, with those of its step's runs
-  /// elsewhere and with what was expected.
+  /// Compares a run's projected duration `duration_ms`, in milliseconds, with
+  /// that of its step's runs on other runners and with the expected one.
   void EvaluatePace(Context& ctx, Runner* runner, Job* job,
-                    const TaskName& name, const Run& run, double length);
-  /// Learns a run's length once enough of it is done: one of each step.
+                    const TaskName& name, const Run& run, double duration_ms);
+  /// Adds the run's duration to the estimates, once for each step, when enough
+  /// of the run is done.
   void LearnRunTime(Context& ctx, Job* job, const TaskName& name, Run* run);
-  /// Moves a run off a runner that turned slow, if that gains time.
+  /// Moves a run off a runner that became slow, if that saves time.
   void MoveOffSlowRunner(Context& ctx, Runner* runner, const TaskName& name,
-                         const Run& run, Duration left, Duration expected);
+                         const Run& run, Duration remaining, Duration expected);
   void HandleUnlistedRuns(Context& ctx, Runner* runner,
                           const RunnerPolled& answer);
-  /// Ends a run that its runner neither runs nor ended.
+  /// Ends a run that its runner reports neither as running nor as ended.
   void EndUnlistedRun(Context& ctx, Runner* runner, const TaskName& name);
-  /// Takes in what a run's end tells of its runner.
+  /// Updates the health of a runner after the end of a run.
   void UpdateRunnerHealth(Context& ctx, Runner* runner, const ReportedEnd& end,
                           const Run& run);
-  /// Takes in a run that is done.
+  /// Resets the runner's failures after a successful run.
   void RecordSuccess(Runner* runner, const Run& run);
-  /// Takes in a run of `job` that failed, perhaps as soon as it had begun.
+  /// Records a failed run of `job`. `immediate`: it failed right after its
+  /// start.
   void RecordFailure(Context& ctx, Runner* runner, const JobId& job,
-                     bool at_once);
-  /// Rests a runner for its failures in a row.
+                     bool immediate);
+  /// Backs off from a runner for its consecutive failures.
   void BackOffAfterFailures(Context& ctx, Runner* runner, const char* reason);
   void BackOff(Context& ctx, Runner* runner, Duration pause,
                const char* reason);
   void HandleMissedAnswer(Context& ctx, Runner* runner);
-  /// The same for a look, which may be carried out late.
+  /// Like `HandleMissedAnswer`, for a poll, which may still be carried out
+  /// late.
   void HandleMissedPoll(Context& ctx, Runner* runner, OrderOutcome outcome);
-  /// Checks runs and removes what is over, every `kCheckInterval`.
+  /// Checks runs, resolves overdue losses and removes finished jobs and
+  /// runners, every `kCheckInterval`.
   void RunPeriodicChecks(Context& ctx);
   void CheckRuns(Context& ctx);
   void CheckStall(Context& ctx, Runner* runner, const TaskName& name, Run* run);
@@ -381,13 +401,12 @@
   TicketCache advice_;
   Planner planner_;
   const Catalog* catalog_ = nullptr;
-  /// Runners for which something changed that may have an order sent, or a
-  /// waiting start given up.
+  /// Runners that may have an order to send or a queued start to drop.
   std::set<RunnerId> orders_due_;
   bool plan_due_ = true;
   bool releasing_ = false;
   TimePoint last_pass_at_;
-  /// The next pass is not made sooner.
+  /// The next planning pass runs no earlier than this.
   TimePoint next_pass_at_;
   TimePoint waiting_counts_written_at_;
   TimePoint next_check_at_;
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -1,9 +1,9 @@
 /// @file
-/// Runs that went with their runners: what they tell against their tasks.
+/// Runs that were lost with their runners, and what they imply for their tasks.
 //
-// A task may crash every runner that starts it, with all that runs there. It
-// ends as no failure, since nobody is left to tell of it: what is counted is
-// that its runners went.
+// A task may crash every runner that starts it, together with all other runs
+// there. Such a run never ends as a failure, because no runner is left to
+// report one. Therefore the runners that the task loses are counted.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// What the runs there tell of a runner's end.
+/// Describes a lost runner and the recent starts that may explain its loss.
 LostRunner DescribeLostRunner(const Runner& runner, TimePoint silent_since,
                               const LossRules& rules) {
   LostRunner lost;
@@ -36,7 +36,7 @@
   return lost;
 }
 
-/// Whether it lives, for logs.
+/// Whether the incarnation lives, for logs.
 const char* ToString(IncarnationFate fate) {
   switch (fate) {
     case IncarnationFate::kAlive:
@@ -44,19 +44,19 @@
     case IncarnationFate::kCrashed:
       return "no";
     case IncarnationFate::kPresumedCrashed:
-      return "never heard of";
+      return "never heard from";
   }
   return "";
 }
 
-/// The life that the run was started on.
-IncarnationId LifeOf(const Runner& runner, const Run& run) {
-  const bool before = IsOfEarlierIncarnation(runner, run);
-  return {runner.id(),
-          before ? run.stored_incarnation : runner.incarnation().start_time};
+/// The incarnation that the run was started on.
+IncarnationId IncarnationOf(const Runner& runner, const Run& run) {
+  const bool of_previous = IsOfEarlierIncarnation(runner, run);
+  return {runner.id(), of_previous ? run.stored_incarnation
+                                   : runner.incarnation().start_time};
 }
 
-/// "RUN@RUNNER" of each, for logs.
+/// Lists losses as "RUN@RUNNER", for logs.
 std::string ListLosses(const std::vector<RunLoss>& losses) {
   std::string text;
   for (const RunLoss& loss : losses) {
@@ -91,7 +91,7 @@
     losses_.AddLostRunner(
         DescribeLostRunner(*runner, loss.silent_since, options_.losses));
   }
-  // Once for all runs: it looks at every runner.
+  // Computed once for all runs, since it iterates over all runners.
   if (!names.empty()) loss.correlated = IsCorrelatedLoss(*runner);
   for (const TaskName& name : names) {
     RecordLostRun(ctx, *runner, name, loss);
@@ -112,7 +112,7 @@
       {{"task", ToString(name)},
        {"run", std::to_string(run.number)},
        {"runner", runner.id().value()},
-       {"born", ToString(LifeOf(runner, run).start_time)},
+       {"born", ToString(IncarnationOf(runner, run).start_time)},
        {"lasted_ms", lasted.has_value() ? std::to_string(lasted->ms()) : ""},
        {"runner_end", ToString(loss.cause)},
        {"with_others", loss.correlated ? "yes" : "no"}});
@@ -124,20 +124,20 @@
                           const RunnerLoss& loss) {
   Job* job = book_.Find(name.job);
   if (job == nullptr || loss.cause == RunnerLossCause::kLeft) return;
-  // What never began can not have crashed its runner, and one start that may
-  // come late counts once.
+  // A run that never began can not have crashed its runner, and a start that
+  // may arrive late counts only once.
   if (NeverBegan(run.phase) || run.counted_as_lost) return;
   const std::optional<Duration> lasted =
       TimeUntilSilence(run, loss.silent_since);
   const bool soon = lasted.has_value() && *lasted <= options_.losses.soon;
   RunLoss lost;
   lost.run = run.number;
-  lost.incarnation = LifeOf(runner, run);
+  lost.incarnation = IncarnationOf(runner, run);
   lost.address = runner.info().address;
   lost.lasted = lasted.value_or(Duration(0));
   lost.crashed = loss.cause == RunnerLossCause::kCrashed;
-  // A start without an answer may never have been carried out: that two of them
-  // went with their runners is no ground to give a task up.
+  // A start without an answer may never have been carried out. Two of them lost
+  // with their runners are no reason to fail a task.
   const bool began = run.phase == RunPhase::kRunning;
   lost.suspicious = began && soon && !loss.correlated;
   job->DropOutlivedLosses(name, lost.lasted, options_.losses);
@@ -150,16 +150,16 @@
 bool Scheduler::IsCorrelatedLoss(const Runner& runner) const {
   if (!runner.silent_since().has_value()) return false;
   const LossRules& rules = options_.losses;
-  const TimePoint moment = *runner.silent_since();
-  std::vector<LostRunner> lost = losses_.LostNear(moment);
+  const TimePoint silent_since = *runner.silent_since();
+  std::vector<LostRunner> lost = losses_.LostNear(silent_since);
   std::set<IncarnationId> known;
   for (const LostRunner& other : lost) known.insert(other.incarnation);
   for (const auto& [id, other] : fleet_.runners()) {
     const std::optional<TimePoint> since = other->silent_since();
     if (!since.has_value() || other->LeftAsAnnounced()) continue;
-    const bool same_moment = *since <= moment + rules.same_moment &&
-                             moment <= *since + rules.same_moment;
-    if (!same_moment || !known.insert(other->incarnation()).second) continue;
+    const bool same_time = *since <= silent_since + rules.same_moment &&
+                           silent_since <= *since + rules.same_moment;
+    if (!same_time || !known.insert(other->incarnation()).second) continue;
     lost.push_back(DescribeLostRunner(*other, *since, rules));
   }
   return CountUnexplained(lost) >= rules.min_unexplained_crashes;
@@ -239,12 +239,12 @@
   fleet_.HandleAnswer(runner, ctx.now(), clock_ms);
   if (!losses_.HasUnresolved()) return;
   ResolveLosses(ctx, runner->incarnation(), IncarnationFate::kAlive);
-  // One that was followed by another does not live on.
-  for (const IncarnationId& before :
+  // An incarnation that was followed by another one is no longer running.
+  for (const IncarnationId& predecessor :
        losses_.EarlierIncarnations(runner->incarnation())) {
-    ResolveLosses(ctx, before,
-                  IsReported(before.start_time) ? IncarnationFate::kCrashed
-                                                : IncarnationFate::kAlive);
+    ResolveLosses(ctx, predecessor,
+                  IsReported(predecessor.start_time) ? IncarnationFate::kCrashed
+                                                     : IncarnationFate::kAlive);
   }
 }
 
