--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Jobs, decisions and the store's side of the scheduler; the runners' side is
-/// in scheduler_runs.cc.
+/// Job state, planning and store access of the scheduler. Answers from runners
+/// are handled in scheduler_runs.cc.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,9 +16,9 @@
 
 namespace {
 
-// How often runs are checked for runners that went silent.
+// How often runs are checked for silent runners, stalls and draining runners.
 constexpr Duration kCheckInterval{100};
-// Steps to which `pass_interval_per_hundred` refers.
+// Number of steps that `pass_interval_per_hundred_steps` refers to.
 constexpr int kHundred = 100;
 
 Scheduler::LeaseStatus ToLeaseStatus(StateWriter::LeaseStatus verdict) {
@@ -76,7 +76,7 @@
 void Scheduler::Handle(Context& ctx, const RunnersListed& answer) {
   fleet_.Handle(ctx, answer);
   ResolveReplacedIncarnations(ctx, answer);
-  // A room may have shrunk under what waits to start there.
+  // A runner's capacity may have shrunk below what its queued starts need.
   for (const RunnerInfo& info : answer.runners) {
     const Runner& runner = *fleet_.runners().at(info.id);
     if (!runner.waiting_starts.empty()) orders_due_.insert(info.id);
@@ -90,7 +90,8 @@
     if (job == nullptr) continue;
     plan_due_ = true;
     InheritRuns(ctx, job);
-    // What is inherited may settle the job, which ends its object.
+    // Inherited runs may put the job into a final state, which deletes its
+    // object.
     job = book_.Find(id);
     if (job != nullptr) InheritLosses(ctx, *job);
     job = book_.Find(id);
@@ -99,7 +100,7 @@
 }
 
 void Scheduler::InheritRuns(Context& ctx, Job* job) {
-  std::set<Runner*> gone;
+  std::set<Runner*> ended_runners;
   for (std::size_t k = 0; k < job->occurrences().size(); ++k) {
     std::vector<Step>& steps = job->occurrences()[k].steps;
     for (std::size_t s = 0; s < steps.size(); ++s) {
@@ -122,18 +123,18 @@
         run.progressed_at = ctx.now();
         run.suspect = IsSuspect(task.losses);
         runner->Add(name, run);
-        // Rows of versions that did not tell lives apart name none.
+        // Rows of versions that did not store start times name no incarnation.
         if (!IsReported(run.stored_incarnation)) {
           job->MoveRun(name, run.number, runner->incarnation());
         }
-        if (runner->ended) gone.insert(runner);
+        if (runner->ended) ended_runners.insert(runner);
       }
     }
   }
-  // A part of the jobs may be read after a runner was found to be gone; nobody
-  // looks at it any more.
-  for (Runner* runner : gone) {
-    EndAllRuns(ctx, runner, "it was lost before its runs were read");
+  // Some jobs may be read after their runner was found to be gone. That runner
+  // is no longer polled, so its runs have to be ended here.
+  for (Runner* runner : ended_runners) {
+    EndAllRuns(ctx, runner, "it was lost before its runs were loaded");
   }
 }
 
@@ -160,7 +161,7 @@
   StopJob(ctx, id);
   // The job is forgotten once its final state is stored.
   writer_.Mark({kProgressTable, id.value()},
-               [text = EncodeProgress(*job)] { return text; });
+               [row = EncodeProgress(*job)] { return row; });
   writer_.RunWhenStored(
       {kProgressTable, id.value()},
       [this, id](Context& later) { book_.RecordFinalStored(id, later.now()); });
@@ -172,11 +173,11 @@
   if (ctx.now() - waiting_counts_written_at_ < options_.waiting_counts_interval)
     return;
   waiting_counts_written_at_ = ctx.now();
-  std::string text = EncodeWaiting(book_.CountWaiting());
-  if (text == written_waiting_counts_) return;
-  written_waiting_counts_ = text;
+  std::string row = EncodeWaiting(book_.CountWaiting());
+  if (row == written_waiting_counts_) return;
+  written_waiting_counts_ = row;
   writer_.Mark({kLeadershipTable, kWaitingKey},
-               [text = std::move(text)] { return text; });
+               [row = std::move(row)] { return row; });
 }
 
 void Scheduler::Handle(Context& ctx, const AdviceReceived& answer) {
@@ -194,23 +195,23 @@
   for (const AdviceRequest& wish : plan.advice_requests) {
     advice_.RequestTickets(ctx, wish.step, wish.runners);
   }
-  for (const Preemption& displaced : plan.preemptions) {
-    Preempt(ctx, displaced);
+  for (const Preemption& preemption : plan.preemptions) {
+    Preempt(ctx, preemption);
   }
   for (const Assignment& assignment : plan.assignments) {
     Assign(ctx, assignment);
   }
 }
 
-void Scheduler::Preempt(Context& ctx, const Preemption& displaced) {
-  Runner* runner = fleet_.Find(displaced.incarnation);
+void Scheduler::Preempt(Context& ctx, const Preemption& preemption) {
+  Runner* runner = fleet_.Find(preemption.incarnation);
   if (runner == nullptr) return;
   ctx.Log(LogId::kRunDisplaced,
-          {{"task", ToString(displaced.task)},
-           {"runner", displaced.incarnation.runner.value()},
-           {"for", displaced.preemptor.value()}});
-  RequestStop(ctx, runner, displaced.task);
-  StopGang(ctx, displaced.task);
+          {{"task", ToString(preemption.task)},
+           {"runner", preemption.incarnation.runner.value()},
+           {"for", preemption.preemptor.value()}});
+  RequestStop(ctx, runner, preemption.task);
+  StopGang(ctx, preemption.task);
 }
 
 void Scheduler::Assign(Context& ctx, const Assignment& assignment) {
@@ -303,14 +304,15 @@
     return;
   }
   fleet_.List(ctx, *store_patience_);
-  // What was running where is only judged with the list of runners at hand.
+  // Inherited runs can only be matched with runners once the list of runners
+  // was read.
   if (fleet_.listed_once()) book_.Work(ctx);
   const bool may_renew =
       ctx.now() - writer_.confirmed_at() < options_.fleet.longest_unconfirmed;
   RunPeriodicChecks(ctx);
   if (IsPassDue(ctx.now())) RunPlanningPass(ctx);
   SendOrders(ctx);
-  // The runners are only known by what is assigned to them once all is read.
+  // The runs of a runner are only known completely once all jobs are read.
   if (book_.loaded()) {
     fleet_.Poll(ctx, writer_.epoch(), may_renew, book_.HasReadAllPartitions());
   }
@@ -323,7 +325,7 @@
   next =
       std::min(next, book_.loaded() ? fleet_.next_at() : fleet_.next_list_at());
   if (fleet_.listed_once()) next = std::min(next, book_.next_at());
-  // A pass that can not be made now is made when the store answers.
+  // A pass that is not possible now runs once the store answers again.
   if (!book_.loaded() || releasing_ || !writer_.store_answers()) return next;
   if (plan_due_) next = std::min(next, next_pass_at_);
   return std::min(next, std::max(next_pass_at_, planner_.next_at()));
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The runners' side of the scheduler: answers to orders, and ends.
+/// Answers from runners: completed orders, polls, and the ends of runs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A runner lists at most this many ends in one answer.
+// Maximum number of ends that a runner reports in one answer.
 constexpr std::size_t kMaxListedEnds = 500;
 
 }  // namespace
@@ -28,9 +28,9 @@
     case OrderOutcome::kFenced:
       return "fenced";
     case OrderOutcome::kStaleRun:
-      return "old run";
+      return "stale run";
     case OrderOutcome::kLeaseExpired:
-      return "too late";
+      return "lease expired";
     case OrderOutcome::kNoCapacity:
       return "no room";
     case OrderOutcome::kInvalidTicket:
@@ -40,7 +40,7 @@
     case OrderOutcome::kUnhealthy:
       return "unhealthy";
     case OrderOutcome::kOtherIncarnation:
-      return "other life";
+      return "other incarnation";
     case OrderOutcome::kNotSent:
       return "not sent";
     case OrderOutcome::kLost:
@@ -76,9 +76,9 @@
 
 void Scheduler::NoteLateStart(TimePoint now, Runner* runner,
                               const StartRunCompleted& answer, const Run& run) {
-  const bool open =
+  const bool may_arrive_late =
       answer.earlier_attempt_pending || answer.outcome == OrderOutcome::kLost;
-  if (!open) return;
+  if (!may_arrive_late) return;
   const TimePoint until = now + options_.late_order_window;
   runner->late_orders.RecordStart({answer.task, answer.run}, run.need, now,
                                   until);
@@ -92,21 +92,22 @@
                                 {"runner", answer.asked.runner.value()},
                                 {"outcome", ToString(answer.outcome)}});
   if (answer.outcome == OrderOutcome::kOtherIncarnation) {
-    // What another life refused never began, unless it had been sent to the
-    // life before, which did not answer.
+    // A start that another incarnation rejected never began, unless it had been
+    // sent before to the previous incarnation, which did not answer.
     if (runner->reachable()) run->phase = RunPhase::kRefused;
-    EndAllRuns(ctx, runner, "another life answers at its address");
+    EndAllRuns(ctx, runner, "another incarnation answers at its address");
     return;
   }
   if (answer.outcome == OrderOutcome::kLost) {
-    // It may still come: the next look tells, or a stop rules it out.
+    // The start may still be carried out: the next poll shows it, or a stop
+    // cancels it.
     run->phase = RunPhase::kUnconfirmed;
     HandleMissedAnswer(ctx, runner);
     return;
   }
   if (answer.outcome == OrderOutcome::kNotSent) HandleMissedAnswer(ctx, runner);
   if (answer.outcome == OrderOutcome::kUnhealthy) {
-    BackOff(ctx, runner, options_.unhealthy_backoff, "not well");
+    BackOff(ctx, runner, options_.unhealthy_backoff, "reported unhealthy");
   }
   if (answer.outcome == OrderOutcome::kNoCapacity) {
     BackOff(ctx, runner, options_.no_capacity_backoff, "no room");
@@ -124,7 +125,7 @@
   NoteOrderAnswered(runner);
   RecordOrderContact(ctx, runner, answer.clock_ms);
   if (answer.outcome == OrderOutcome::kOtherIncarnation) {
-    EndAllRuns(ctx, runner, "another life answers at its address");
+    EndAllRuns(ctx, runner, "another incarnation answers at its address");
     return LeaseStatus::kHeld;
   }
   const bool answered = answer.outcome == OrderOutcome::kDone ||
@@ -151,9 +152,9 @@
   const auto found = runner->runs().find(name);
   if (found == runner->runs().end()) return;
   const int number = found->second.number;
-  const Duration worked = found->second.phase == RunPhase::kRunning
-                              ? ctx.now() - found->second.started_at
-                              : Duration(0);
+  const Duration ran_for = found->second.phase == RunPhase::kRunning
+                               ? ctx.now() - found->second.started_at
+                               : Duration(0);
   runner->Remove(name);
   plan_due_ = true;
   ctx.Log(LogId::kRunEnded, {{"task", ToString(name)},
@@ -163,9 +164,9 @@
                              {"saved", checkpoint.empty() ? "" : "yes"}});
   Job* job = book_.Find(name.job);
   if (job == nullptr) return;
-  // A lost run is compared with those before it when it is counted.
+  // For a lost run, `CountLoss` compares its duration with earlier losses.
   if (end != RunEnd::kLeaseExpired)
-    job->DropOutlivedLosses(name, worked, options_.losses);
+    job->DropOutlivedLosses(name, ran_for, options_.losses);
   if (!job->EndRun(name, number, end, checkpoint, MaxAttempts(*job))) return;
   UpdateJobState(ctx, job);
   ApplyLossPolicy(ctx, name);
@@ -189,23 +190,25 @@
 
 void Scheduler::EndExpiredRuns(Context& ctx, Runner* runner) {
   std::vector<TaskName> lapsed;
-  std::vector<TaskName> of_life_before;
+  std::vector<TaskName> of_previous_incarnation;
   for (const auto& [name, run] : runner->runs()) {
-    const bool may_still_come =
+    const bool may_still_start =
         run.phase == RunPhase::kUnconfirmed &&
         ctx.now() - run.answered_at < options_.late_order_window;
-    if (may_still_come) continue;
-    (IsOfEarlierIncarnation(*runner, run) ? of_life_before : lapsed)
+    if (may_still_start) continue;
+    (IsOfEarlierIncarnation(*runner, run) ? of_previous_incarnation : lapsed)
         .push_back(name);
   }
-  const std::size_t over = lapsed.size() + of_life_before.size();
-  if (over == 0) return;
+  const std::size_t ended_count =
+      lapsed.size() + of_previous_incarnation.size();
+  if (ended_count == 0) return;
   ctx.Log(LogId::kRunnerLost, {{"runner", runner->id().value()},
-                               {"reason", "its lease is over"},
-                               {"runs", std::to_string(over)}});
-  // That this life leaves says nothing of the one before.
-  if (!of_life_before.empty()) {
-    MarkRunsLost(ctx, runner, of_life_before, RunnerLossCause::kUnknown);
+                               {"reason", "its lease expired"},
+                               {"runs", std::to_string(ended_count)}});
+  // That this incarnation is shutting down says nothing about the previous one.
+  if (!of_previous_incarnation.empty()) {
+    MarkRunsLost(ctx, runner, of_previous_incarnation,
+                 RunnerLossCause::kUnknown);
   }
   if (lapsed.empty()) return;
   MarkRunsLost(ctx, runner, lapsed,
@@ -218,20 +221,22 @@
   if (answer.epoch != writer_.epoch()) return LeaseStatus::kHeld;
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
-  // Another look may have left since, on a hint that another life is there.
+  // A newer poll may have been sent since, because the list of runners named
+  // another incarnation.
   const bool is_newest =
       runner != nullptr && answer.number == runner->poll_number;
   if (!is_newest) return LeaseStatus::kHeld;
   runner->poll_in_flight = false;
   if (answer.outcome == OrderOutcome::kOtherIncarnation) {
-    EndAllRuns(ctx, runner, "another life answers at its address");
+    EndAllRuns(ctx, runner, "another incarnation answers at its address");
     return LeaseStatus::kHeld;
   }
   if (answer.outcome != OrderOutcome::kDone) {
     HandleMissedPoll(ctx, runner, answer.outcome);
     return LeaseStatus::kHeld;
   }
-  // What left after a life was heard is answered by that one or a later one.
+  // A poll that was sent after an incarnation answered is itself answered by
+  // that incarnation or a later one.
   if (answer.start_time != runner->incarnation().start_time) {
     runner = BeginIncarnation(ctx, runner, answer);
   }
@@ -249,7 +254,8 @@
   for (const ReportedRun& run : answer.running)
     HandleRunningRun(ctx, runner, run);
   ForgetUnwantedRuns(runner, answer.running);
-  // What is not listed as running may be among the ends that are left.
+  // A run that is not reported as running may be among the ends that were not
+  // handled.
   if (all_taken) HandleUnlistedRuns(ctx, runner, answer);
   return LeaseStatus::kHeld;
 }
@@ -263,7 +269,8 @@
   }
   for (const ReportedEnd& end : ends) {
     if (!book_.HasReadPartitionOf(end.task.job)) {
-      // An end that is not told as known would be answered at once again.
+      // The runner answers a poll immediately while it has unacknowledged ends,
+      // so the next poll is delayed.
       runner->next_poll_at = ctx.now() + options_.fleet.unstored_end_wait;
       return false;
     }
@@ -283,14 +290,15 @@
     if (MustDeferAcknowledgment(*runner, end, presumed_over)) {
       const TimePoint until = runner->DeferAcknowledgement(
           end.number, ctx.now(), options_.fleet.run_lease);
-      BackOff(ctx, runner, until - ctx.now(), "its lease is to run out");
+      BackOff(ctx, runner, until - ctx.now(),
+              "waiting for its lease to expire");
     }
     HandleLateEnd(ctx, *runner, end);
   } else {
     UpdateRunnerHealth(ctx, runner, end, *run);
     EndRun(ctx, runner, end.task, end.end, end.checkpoint);
   }
-  // Also a job that was closed just now may not be stored yet.
+  // A job that was closed just now may not be stored either.
   const RowKey key{kProgressTable, end.task.job.value()};
   if (!writer_.IsPending(key)) return;
   runner->unstored_ends.insert(end.number);
@@ -301,46 +309,50 @@
   });
 }
 
-// Its lease seemed to be over, and the task went on elsewhere. If it has really
-// run out, the end does not count once it is noted. Runs that went by it would
-// show that; without any, a call that came late may have renewed it, or the
-// runner's clock may have stood still. So it has to run out first. What runs
-// there by now must not go with it.
+// Here the runner's lease seemed to have expired, and the task continued
+// elsewhere. If the lease did expire on the runner, the platform ignores the
+// end once it is acknowledged. Reported expirations would prove that. Without
+// them, a late call may have renewed the lease, or the runner's clock may have
+// been stopped, so the lease has to expire first. Runs that are active on the
+// runner now must not expire with it, so nothing is deferred while there are
+// any.
 bool Scheduler::MustDeferAcknowledgment(const Runner& runner,
                                         const ReportedEnd& end,
                                         bool presumed_over) {
   if (end.end != RunEnd::kDone && end.end != RunEnd::kFailed) return false;
   if (end.number < runner.newest_expired_end) return false;
-  const bool in_use = std::any_of(
+  const bool has_active_runs = std::any_of(
       runner.runs().begin(), runner.runs().end(), [](const auto& run) {
         return run.second.phase != RunPhase::kUnconfirmed;
       });
-  if (in_use) return false;
+  if (has_active_runs) return false;
   Job* job = book_.Find(end.task.job);
   const Task* task = job == nullptr ? nullptr : job->Find(end.task);
   if (task == nullptr) return presumed_over;
-  // A failure that was not counted counts for the platform once it is noted.
+  // The platform counts a failure that was not counted here once it is
+  // acknowledged.
   const bool uncounted = presumed_over && end.end == RunEnd::kFailed;
   return uncounted || task->run > end.run;
 }
 
-// A run that counted as lapsed, or that a next life began late, may be done all
-// the same. Its answer is there: another run would only be a second one.
+// A run that counted as expired, or that the next incarnation started late, may
+// have succeeded after all. Its result is available, so another run of the task
+// would only duplicate it.
 void Scheduler::HandleLateEnd(Context& ctx, const Runner& runner,
                               const ReportedEnd& end) {
   Job* job = book_.Find(end.task.job);
   if (job == nullptr || end.end != RunEnd::kDone) return;
   const Task* task = job->Find(end.task);
   if (task == nullptr || end.run > task->run) return;
-  Runner* present = fleet_.Find(task->incarnation);
+  Runner* current_runner = fleet_.Find(task->incarnation);
   if (!job->CompleteLate(end.task)) return;
   ctx.Log(LogId::kRunDoneLate,
           {{"task", ToString(end.task)},
            {"run", std::to_string(end.run)},
            {"runner", runner.id().value()},
            {"born", ToString(runner.incarnation().start_time)}});
-  // Other members of a gang break when this one goes.
-  if (present != nullptr) RequestStop(ctx, present, end.task);
+  // The other members of a gang fail when this run is stopped.
+  if (current_runner != nullptr) RequestStop(ctx, current_runner, end.task);
   UpdateJobState(ctx, job);
   plan_due_ = true;
 }
@@ -350,8 +362,9 @@
   Run* run = runner->FindRun(listed.task, listed.run);
   if (run == nullptr && !book_.HasReadPartitionOf(listed.task.job)) return;
   if (run == nullptr) {
-    // Nobody waits for it any more. Looks may come hundreds of times a second;
-    // a stop with each would hold up all other orders to this runner.
+    // No task waits for this run. Polls may follow each other hundreds of times
+    // a second; sending a stop for each would delay all other orders to the
+    // runner.
     runner
         ->AddOrphan({listed.task, listed.run},
                     NeedOfUnwantedRun(*runner, listed.task))
@@ -359,8 +372,8 @@
     orders_due_.insert(runner->id());
     return;
   }
-  const bool moved = listed.percent != run->percent;
-  if (moved) run->progressed_at = ctx.now();
+  const bool progressed = listed.percent != run->percent;
+  if (progressed) run->progressed_at = ctx.now();
   run->percent = listed.percent;
   if (run->phase == RunPhase::kInherited ||
       run->phase == RunPhase::kUnconfirmed) {
@@ -383,8 +396,8 @@
   if (job != nullptr && job->HasStep(name.step)) {
     return job->step_spec(name.step).room();
   }
-  // Of a job that is closed nobody knows any more what its tasks take. A runner
-  // that does not guard its room gets nothing beside it.
+  // The resources of a closed job's tasks are no longer known. A runner that
+  // does not enforce its capacity therefore gets no other runs beside this one.
   return EnforcesCapacity(runner) ? Resources() : runner.info().room;
 }
 
@@ -396,9 +409,9 @@
 
 void Scheduler::ForgetUnwantedRuns(Runner* runner,
                                    const std::vector<ReportedRun>& running) {
-  std::set<RunKey> there;
-  for (const ReportedRun& run : running) there.insert({run.task, run.run});
-  runner->RemoveOrphansExcept(there);
+  std::set<RunKey> reported;
+  for (const ReportedRun& run : running) reported.insert({run.task, run.run});
+  runner->RemoveOrphansExcept(reported);
 }
 
 void Scheduler::HandleUnlistedRuns(Context& ctx, Runner* runner,
@@ -410,18 +423,19 @@
   std::vector<TaskName> unsure;
   for (const auto& [name, run] : runner->runs()) {
     if (running.count(name) != 0) continue;
-    // The look may have left before the order was carried out.
+    // The poll may have been sent before the order was carried out.
     if (run.answered_at >= runner->poll_sent_at) continue;
     if (WasNeverSent(run.phase) || run.phase == RunPhase::kStarting) continue;
-    const bool may_still_come =
+    const bool may_still_start =
         run.phase == RunPhase::kUnconfirmed && !run.stop_answered;
-    if (may_still_come) {
+    if (may_still_start) {
       unsure.push_back(name);
     } else {
       (IsOfEarlierIncarnation(*runner, run) ? lost : lapsed).push_back(name);
     }
   }
-  // An earlier life went with what an earlier scheduler started on it.
+  // These runs were started by an earlier scheduler on an earlier incarnation,
+  // and were lost with it.
   if (!lost.empty()) MarkRunsLost(ctx, runner, lost, RunnerLossCause::kCrashed);
   for (const TaskName& name : lapsed) EndUnlistedRun(ctx, runner, name);
   for (const TaskName& name : unsure) {
