--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -1,12 +1,13 @@
 /// @file
-/// Runners that start again under their ids: what becomes of the life before.
+/// Runners that restart under the same id: handling of the previous
+/// incarnation.
 //
-// A runner's next life holds and knows nothing of the one before. All that was
-// known of that one ends here, in one place, and the next is a new object. What
-// was sent to it and got no answer may still be carried out by the next, which
-// is told not to before the same task starts elsewhere: waiting until it can
-// not come any more would hold the task up for 12.5 s, a stop takes a round
-// trip.
+// The next incarnation of a runner shares no state with the previous one. All
+// state of the previous incarnation ends here, and the next one gets a new
+// object. Orders that were sent to the previous incarnation without an answer
+// may still be carried out by the next one, which is told to stop them before
+// the same task starts elsewhere. Waiting until they can no longer arrive would
+// delay the task by 12.5 s, whereas a stop takes one round trip.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -23,43 +24,44 @@
 namespace {
 
 bool Lists(const RunnerPolled& answer, const TaskName& name, int number) {
-  const auto is_it = [&](const auto& listed) {
+  const auto matches = [&](const auto& listed) {
     return listed.task == name && listed.run == number;
   };
-  return std::any_of(answer.running.begin(), answer.running.end(), is_it) ||
-         std::any_of(answer.ended.begin(), answer.ended.end(), is_it);
+  return std::any_of(answer.running.begin(), answer.running.end(), matches) ||
+         std::any_of(answer.ended.begin(), answer.ended.end(), matches);
 }
 
 }  // namespace
 
 Scheduler::CarriedRunStatus Scheduler::ClassifyRun(TimePoint now,
-                                                   const Runner& before,
+                                                   const Runner& previous,
                                                    const TaskName& name,
                                                    const Run& run,
                                                    const RunnerPolled& answer) {
   if (NeverBegan(run.phase)) return CarriedRunStatus::kNeverStarted;
   if (Lists(answer, name, run.number)) return CarriedRunStatus::kMayExist;
-  // Judged by the life that it was stored for.
+  // `HandleUnlistedRuns` compares the run with the incarnation it was stored
+  // for.
   if (run.phase == RunPhase::kInherited) return CarriedRunStatus::kMayExist;
-  // A start without an answer may be what the life before went by.
+  // A start without an answer may have crashed the previous incarnation.
   const bool may_start_late =
       run.phase == RunPhase::kStarting ||
-      before.late_orders.MayArrive({name, run.number}, now);
+      previous.late_orders.MayArrive({name, run.number}, now);
   return may_start_late ? CarriedRunStatus::kLostButMayStart
                         : CarriedRunStatus::kLost;
 }
 
-Runner* Scheduler::BeginIncarnation(Context& ctx, Runner* before,
+Runner* Scheduler::BeginIncarnation(Context& ctx, Runner* previous,
                                     const RunnerPolled& answer) {
-  const IncarnationId old_life = before->incarnation();
-  std::vector<TaskName> never;
+  const IncarnationId previous_incarnation = previous->incarnation();
+  std::vector<TaskName> never_started;
   std::vector<TaskName> lost;
-  std::vector<TaskName> moved;
+  std::vector<TaskName> carried;
   std::vector<TaskName> to_cancel;
-  for (const auto& [name, run] : before->runs()) {
-    switch (ClassifyRun(ctx.now(), *before, name, run, answer)) {
+  for (const auto& [name, run] : previous->runs()) {
+    switch (ClassifyRun(ctx.now(), *previous, name, run, answer)) {
       case CarriedRunStatus::kNeverStarted:
-        never.push_back(name);
+        never_started.push_back(name);
         break;
       case CarriedRunStatus::kLost:
         lost.push_back(name);
@@ -69,49 +71,49 @@
         to_cancel.push_back(name);
         break;
       case CarriedRunStatus::kMayExist:
-        moved.push_back(name);
+        carried.push_back(name);
         break;
     }
   }
   ctx.Log(LogId::kRunnerBegan,
-          {{"runner", old_life.runner.value()},
+          {{"runner", previous_incarnation.runner.value()},
            {"born", ToString(answer.start_time)},
-           {"before", ToString(old_life.start_time)},
-           {"lives", std::to_string(before->incarnations() + 1)},
+           {"before", ToString(previous_incarnation.start_time)},
+           {"lives", std::to_string(previous->incarnations() + 1)},
            {"lost", std::to_string(lost.size())},
-           {"kept", std::to_string(moved.size())},
+           {"kept", std::to_string(carried.size())},
            {"to_be_ruled_out", std::to_string(to_cancel.size())}});
-  const RunnerLossCause cause = before->LeftAsAnnounced()
+  const RunnerLossCause cause = previous->LeftAsAnnounced()
                                     ? RunnerLossCause::kLeft
                                     : RunnerLossCause::kCrashed;
-  MarkRunsLost(ctx, before, lost, cause, to_cancel);
-  for (const TaskName& name : never) {
-    EndRun(ctx, before, name, RunEnd::kRejected, "");
+  MarkRunsLost(ctx, previous, lost, cause, to_cancel);
+  for (const TaskName& name : never_started) {
+    EndRun(ctx, previous, name, RunEnd::kRejected, "");
     StopGang(ctx, name);
   }
-  ResolveLosses(ctx, old_life, IncarnationFate::kCrashed);
-  Runner* next = CarryOverRuns(ctx, before, moved, to_cancel, answer);
+  ResolveLosses(ctx, previous_incarnation, IncarnationFate::kCrashed);
+  Runner* next = CarryOverRuns(ctx, previous, carried, to_cancel, answer);
   plan_due_ = true;
   return next;
 }
 
-Runner* Scheduler::CarryOverRuns(Context& ctx, Runner* before,
-                                 const std::vector<TaskName>& moved,
+Runner* Scheduler::CarryOverRuns(Context& ctx, Runner* previous,
+                                 const std::vector<TaskName>& carried,
                                  const std::vector<TaskName>& to_cancel,
                                  const RunnerPolled& answer) {
-  // Ending runs may have ended members of their gangs here.
-  const auto those_there = [before](const std::vector<TaskName>& names) {
+  // Ending the other runs may have ended members of their gangs here.
+  const auto runs_present = [previous](const std::vector<TaskName>& names) {
     std::vector<std::pair<TaskName, Run>> runs;
     for (const TaskName& name : names) {
-      const auto found = before->runs().find(name);
-      if (found != before->runs().end()) runs.emplace_back(*found);
+      const auto found = previous->runs().find(name);
+      if (found != previous->runs().end()) runs.emplace_back(*found);
     }
     return runs;
   };
-  const auto runs_there = those_there(moved);
-  const auto runs_to_cancel = those_there(to_cancel);
-  Runner* next = ReplaceIncarnation(ctx.now(), before, answer.start_time);
-  for (const auto& [name, run] : runs_there) {
+  const auto carried_runs = runs_present(carried);
+  const auto runs_to_cancel = runs_present(to_cancel);
+  Runner* next = ReplaceIncarnation(ctx.now(), previous, answer.start_time);
+  for (const auto& [name, run] : carried_runs) {
     AddCarriedRun(ctx, next, name, run, false);
   }
   for (const auto& [name, run] : runs_to_cancel) {
@@ -122,30 +124,30 @@
   return next;
 }
 
-Runner* Scheduler::ReplaceIncarnation(TimePoint now, Runner* before,
+Runner* Scheduler::ReplaceIncarnation(TimePoint now, Runner* previous,
                                       StartTime start_time) {
-  const bool start_under_way = std::any_of(
-      before->runs().begin(), before->runs().end(), [](const auto& entry) {
+  const bool start_in_flight = std::any_of(
+      previous->runs().begin(), previous->runs().end(), [](const auto& entry) {
         return entry.second.phase == RunPhase::kStarting;
       });
-  if (start_under_way) {
-    before->late_orders.RecordGrant(now + options_.late_order_window);
+  if (start_in_flight) {
+    previous->late_orders.RecordGrant(now + options_.late_order_window);
   }
-  const bool granted_now = before->poll_grants_lease;
-  const TimePoint poll_sent_at = before->poll_sent_at;
-  const PollNumber poll_number = before->poll_number;
-  Runner* next = fleet_.StartIncarnation(before, start_time, now);
-  // The look that told of it is its first one.
+  const bool poll_grants_lease = previous->poll_grants_lease;
+  const TimePoint poll_sent_at = previous->poll_sent_at;
+  const PollNumber poll_number = previous->poll_number;
+  Runner* next = fleet_.StartIncarnation(previous, start_time, now);
+  // The poll whose answer revealed the next incarnation counts as its first.
   next->poll_sent_at = poll_sent_at;
   next->poll_number = poll_number;
-  next->RecordLateGrant(granted_now ? now : TimePoint(),
+  next->RecordLateGrant(poll_grants_lease ? now : TimePoint(),
                         options_.fleet.longest_lease);
   return next;
 }
 
 void Scheduler::AddCarriedRun(Context& ctx, Runner* next, const TaskName& name,
                               Run run, bool lost) {
-  // Its old life's time and progress say nothing here.
+  // Times and progress from the previous incarnation do not apply to the next.
   if (run.phase != RunPhase::kInherited) run.phase = RunPhase::kUnconfirmed;
   run.counted_as_lost = run.counted_as_lost || lost;
   run.stop = StopRequest();
@@ -159,7 +161,8 @@
   run.pace_measured_from = TimePoint();
   next->Add(name, run);
   Job* job = book_.Find(name.job);
-  // The row of a run that is still to be judged goes on naming its life.
+  // The stored row of a run from an even earlier incarnation keeps naming that
+  // one, until the run is resolved.
   if (job == nullptr || IsOfEarlierIncarnation(*next, run)) return;
   job->MoveRun(name, run.number, next->incarnation());
   MarkProgressChanged(name.job);
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -1,6 +1,6 @@
 /// @file
-/// The scheduler's orders to runners: what is sent, in which order, and what is
-/// dropped before it is sent.
+/// Orders from the scheduler to runners: which ones are sent, in which order,
+/// and which starts are dropped before they are sent.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,38 +18,38 @@
 
 namespace {
 
-/// For people.
-const char* ToString(StartDropReason obstacle) {
-  switch (obstacle) {
+/// Describes the reason, for logs.
+const char* ToString(StartDropReason reason) {
+  switch (reason) {
     case StartDropReason::kJobFinished:
-      return "its job is over";
+      return "its job has ended";
     case StartDropReason::kGangEnded:
-      return "its gang's run is over";
+      return "its gang's run has ended";
     case StartDropReason::kStopping:
-      return "it is to stop";
+      return "a stop was requested";
     case StartDropReason::kReleasing:
-      return "another process is to schedule";
+      return "the scheduler is releasing its lease";
     case StartDropReason::kRunnerDraining:
-      return "its runner leaves";
+      return "its runner is shutting down";
     case StartDropReason::kHallDraining:
-      return "its runner's hall is to be emptied";
+      return "its runner's hall is being drained";
     case StartDropReason::kRunnerUnreachable:
-      return "its runner is silent";
+      return "its runner does not answer";
     case StartDropReason::kTicketExpired:
-      return "its ticket ran out";
+      return "its ticket has expired";
     case StartDropReason::kNoCapacity:
       return "its runner has no room for it any more";
     case StartDropReason::kAwaitingLeaseExpiry:
-      return "the runner's lease is to run out";
+      return "its runner's lease has to expire first";
     case StartDropReason::kCapacityUnconfirmed:
-      return "its runner's room was not confirmed lately";
+      return "its runner's capacity was not confirmed recently";
     case StartDropReason::kTaskCrashesRunners:
       return "its task crashes runners";
   }
   return "";
 }
 
-/// True if a member of the gang ended, or is in another run already.
+/// True if a member of the gang ended or already belongs to another run.
 bool HasGangEnded(const Job& job, const TaskName& name, int number) {
   if (!job.step_spec(name.step).gang) return false;
   const Step& step = job.occurrences()[name.occurrence].steps[name.step];
@@ -73,7 +73,7 @@
 }
 
 void Scheduler::SendOrders(Context& ctx) {
-  // What is given up may stop a gang's members, on other runners too.
+  // A dropped start may stop the members of its gang, also on other runners.
   while (!orders_due_.empty()) {
     const std::set<RunnerId> due = std::move(orders_due_);
     orders_due_.clear();
@@ -84,11 +84,12 @@
   }
 }
 
-// Orders to one runner are carried out one after the other, and one without an
-// answer takes a second: what is handed over early leaves late, by what was
-// known seconds before.
+// A runner carries out its orders one after the other, and an order without an
+// answer takes a second. An order that was handed over early would be sent late
+// and based on outdated state, so only one is in flight at a time.
 void Scheduler::SendNextOrder(Context& ctx, Runner* runner) {
-  // Giving up one member of a gang stops the others, some of them here.
+  // Dropping one member's start stops the other members, possibly on this
+  // runner.
   while (DropStaleStarts(ctx, runner)) {
   }
   if (runner->order_in_flight || SendNextStop(ctx, runner)) return;
@@ -105,14 +106,14 @@
   for (const auto& [name, number] : waiting) {
     const Run* run = runner->FindRun(name, number);
     if (run == nullptr) continue;
-    const std::optional<StartDropReason> obstacle =
+    const std::optional<StartDropReason> reason =
         FindDropReason(ctx.now(), *runner, name, *run);
-    if (!obstacle.has_value()) {
+    if (!reason.has_value()) {
       runner->waiting_starts.emplace_back(name, number);
       continue;
     }
     given_up = true;
-    DropStart(ctx, runner, name, *obstacle);
+    DropStart(ctx, runner, name, *reason);
   }
   return given_up;
 }
@@ -125,13 +126,14 @@
   if (job == nullptr) return StartDropReason::kJobFinished;
   const Task& task =
       job->occurrences()[name.occurrence].steps[name.step].tasks[name.index];
-  // The run itself is no start in vain yet.
+  // The run itself does not count as a failed start.
   if (EvaluateLosses(task.losses, run.number - 1, options_.losses) !=
       LossVerdict::kMayStart) {
     return StartDropReason::kTaskCrashesRunners;
   }
   if (run.stopping) return StartDropReason::kStopping;
-  // A member that starts alone holds its room for seconds, to end alone.
+  // A gang member that starts alone would hold its capacity for seconds, only
+  // to fail.
   if (HasGangEnded(*job, name, run.number)) return StartDropReason::kGangEnded;
   if (releasing_) return StartDropReason::kReleasing;
   if (runner.draining_since().has_value())
@@ -158,11 +160,11 @@
 }
 
 void Scheduler::DropStart(Context& ctx, Runner* runner, const TaskName& name,
-                          StartDropReason obstacle) {
+                          StartDropReason reason) {
   ctx.Log(LogId::kStartGivenUp, {{"task", ToString(name)},
                                  {"runner", runner->id().value()},
-                                 {"reason", ToString(obstacle)}});
-  // Nothing was sent: the run never was.
+                                 {"reason", ToString(reason)}});
+  // The start was never sent, so the run did not begin.
   EndRun(ctx, runner, name, RunEnd::kRejected, "");
   StopGang(ctx, name);
 }
@@ -220,8 +222,8 @@
   Run& run = found->second;
   run.stopping = true;
   orders_due_.insert(runner->id());
-  // What was not sent is dropped; what is being started is stopped as soon as
-  // the start is answered.
+  // A start that was not sent is dropped. A run whose start is in flight is
+  // stopped as soon as the start is answered.
   const bool too_early =
       WasNeverSent(run.phase) || run.phase == RunPhase::kStarting;
   if (too_early || runner->info().address.empty()) return;
