--- a/src/dispatch/scheduler_health.cc
+++ b/src/dispatch/scheduler_health.cc
@@ -1,6 +1,6 @@
 /// @file
-/// What ends and silence tell the scheduler of runners: which ones rest, and
-/// which are looked at later.
+/// Runner health: back-off after failed runs, and retries of polls after missed
+/// answers.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -21,22 +21,24 @@
 
 void Scheduler::UpdateRunnerHealth(Context& ctx, Runner* runner,
                                    const ReportedEnd& end, const Run& run) {
-  const Duration lasted = ctx.now() - run.started_at;
-  const Duration quick =
+  const Duration elapsed = ctx.now() - run.started_at;
+  const Duration early_failure_limit =
       std::max(options_.early_failure_limit,
                run.expected * options_.early_failure_percent / kHundred);
   if (end.end == RunEnd::kDone) {
     RecordSuccess(runner, run);
   } else if (end.end == RunEnd::kFailed) {
-    // The end may be listed before the start's own answer comes.
-    const bool at_once = run.phase == RunPhase::kStarting ||
-                         (run.phase == RunPhase::kRunning && lasted < quick);
-    RecordFailure(ctx, runner, end.task.job, at_once);
+    // The end may be reported before the answer to the start arrives.
+    const bool immediate =
+        run.phase == RunPhase::kStarting ||
+        (run.phase == RunPhase::kRunning && elapsed < early_failure_limit);
+    RecordFailure(ctx, runner, end.task.job, immediate);
   }
 }
 
 void Scheduler::RecordSuccess(Runner* runner, const Run& run) {
-  // What began before the last failure says nothing of what begins now.
+  // A run that began before the last failure is no evidence that new runs
+  // succeed.
   if (run.started_at < runner->failed_at) return;
   runner->consecutive_failures = 0;
   runner->failed_immediately = false;
@@ -44,22 +46,22 @@
 }
 
 void Scheduler::RecordFailure(Context& ctx, Runner* runner, const JobId& job,
-                              bool at_once) {
+                              bool immediate) {
   runner->suspect_until = ctx.now() + options_.failure_penalty;
   runner->failed_at = ctx.now();
-  if (at_once) {
+  if (immediate) {
     runner->failed_immediately = true;
-    // Others that began with it tell nothing more.
+    // Failures of runs that began together count as one.
     if (ctx.now() >= runner->backoff_until) ++runner->consecutive_failures;
-    BackOffAfterFailures(ctx, runner, "a run failed as soon as it had begun");
+    BackOffAfterFailures(ctx, runner, "a run failed right after its start");
     return;
   }
-  // One job that fails again and again says nothing of the runner.
+  // Repeated failures of one job are no evidence against the runner.
   if (runner->last_failed_job == job) return;
   runner->last_failed_job = job;
   ++runner->consecutive_failures;
   if (runner->consecutive_failures < kFailuresBeforeBackoff) return;
-  BackOffAfterFailures(ctx, runner, "failed runs of several jobs");
+  BackOffAfterFailures(ctx, runner, "runs of several jobs failed");
 }
 
 void Scheduler::BackOffAfterFailures(Context& ctx, Runner* runner,
@@ -92,7 +94,8 @@
     ctx.Log(LogId::kRunnerSilent, {{"runner", runner->id().value()}});
   }
   runner->RecordMiss(ctx.now());
-  // What waits to be started there is placed elsewhere.
+  // Queued starts on a silent runner are dropped and their tasks placed
+  // elsewhere.
   orders_due_.insert(runner->id());
   const Duration pause = std::min(options_.fleet.retry_pause * runner->misses(),
                                   options_.fleet.longest_retry_pause);
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -1,5 +1,6 @@
 /// @file
-/// The pace of runs: what is learnt from it, and which runs are moved for it.
+/// Progress of runs: pace measurements, and moves of runs that are slow,
+/// stalled or on a draining runner.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -26,42 +27,44 @@
   if (step.long_running || run->pace_measured_from.ms() == 0) return;
   const Duration elapsed = ctx.now() - run->pace_measured_from;
   if (elapsed < options_.min_pace_interval) return;
-  // A gang that has not begun shows no progress anywhere.
+  // A gang that has not begun reports no progress on any runner.
   if (run->percent == 0) return;
-  const int done = std::max(1, run->percent - run->pace_percent);
-  const double length = static_cast<double>((elapsed * kComplete).ms()) / done;
+  const int progress = std::max(1, run->percent - run->pace_percent);
+  const double duration_ms =
+      static_cast<double>((elapsed * kComplete).ms()) / progress;
   run->pace_measured_from = ctx.now();
   run->pace_percent = run->percent;
-  EvaluatePace(ctx, runner, job, name, *run, length);
+  EvaluatePace(ctx, runner, job, name, *run, duration_ms);
   LearnRunTime(ctx, job, name, run);
 }
 
 void Scheduler::EvaluatePace(Context& ctx, Runner* runner, Job* job,
                              const TaskName& name, const Run& run,
-                             double length) {
+                             double duration_ms) {
   Step& step = job->occurrences()[name.occurrence].steps[name.step];
   const Duration elsewhere = step.MeanDurationElsewhere(runner->incarnation());
-  const Duration seen(std::llround(length));
+  const Duration measured(std::llround(duration_ms));
   if (elsewhere > Duration(0)) {
-    runner->RecordUsualPace(length / static_cast<double>(elsewhere.ms()));
+    runner->RecordUsualPace(duration_ms / static_cast<double>(elsewhere.ms()));
   }
   Duration& shortest = step.observed_durations[runner->incarnation()];
-  shortest = shortest == Duration(0) ? seen : std::min(shortest, seen);
+  shortest = shortest == Duration(0) ? measured : std::min(shortest, measured);
   const std::optional<double> factor =
       times_.UpperBoundFactor(job->spec().queue);
   if (!factor.has_value()) return;
   const Duration expected = std::max({run.expected, elsewhere, Duration(1)});
-  const double ratio = length / static_cast<double>(expected.ms());
+  const double ratio = duration_ms / static_cast<double>(expected.ms());
   runner->RecordPace(ratio, job->spec().id);
-  const double left = length * (kComplete - run.percent) / kComplete;
-  // Known lengths of the step's other runs are a surer ground than guesses.
-  const double bound = elsewhere > Duration(0)
-                           ? options_.slow_run_ratio
-                           : std::max(*factor, options_.slow_run_ratio);
-  const bool told_by_others =
+  const double remaining = duration_ms * (kComplete - run.percent) / kComplete;
+  // Measured durations of the step's other runs are more reliable than
+  // estimates.
+  const double max_ratio = elsewhere > Duration(0)
+                               ? options_.slow_run_ratio
+                               : std::max(*factor, options_.slow_run_ratio);
+  const bool confirmed_by_others =
       elsewhere > Duration(0) || runner->IsSlowExcluding(job->spec().id);
-  if (ratio > bound && told_by_others) {
-    MoveOffSlowRunner(ctx, runner, name, run, Duration(std::llround(left)),
+  if (ratio > max_ratio && confirmed_by_others) {
+    MoveOffSlowRunner(ctx, runner, name, run, Duration(std::llround(remaining)),
                       expected);
   }
 }
@@ -74,24 +77,25 @@
   Step& step = job->occurrences()[name.occurrence].steps[name.step];
   if (step.duration_known) return;
   step.duration_known = true;
-  const Duration whole =
+  const Duration full_duration =
       (ctx.now() - run->started_at) * kComplete / run->percent;
   times_.AddSample(job->spec().queue, job->step_spec(name.step).estimate,
-                   whole);
+                   full_duration);
 }
 
 void Scheduler::MoveOffSlowRunner(Context& ctx, Runner* runner,
                                   const TaskName& name, const Run& run,
-                                  Duration left, Duration expected) {
+                                  Duration remaining, Duration expected) {
   if (run.stopping || !runner->IsSlow()) return;
   if (run.number > options_.max_moves) return;
-  const double anew =
+  const double restart_ms =
       options_.min_move_gain * static_cast<double>(expected.ms());
-  if (left < Duration(std::llround(anew)) + options_.move_cost) return;
+  if (remaining < Duration(std::llround(restart_ms)) + options_.move_cost)
+    return;
   ctx.Log(LogId::kRunMoved, {{"task", ToString(name)},
                              {"runner", runner->id().value()},
                              {"percent", std::to_string(run.percent)},
-                             {"left_ms", std::to_string(left.ms())},
+                             {"left_ms", std::to_string(remaining.ms())},
                              {"slowness", absl::StrCat(runner->slowness())}});
   RequestStop(ctx, runner, name);
   StopGang(ctx, name);
@@ -123,15 +127,15 @@
   if (!runner->reachable() || run->percent >= kComplete) return;
   const Job* job = book_.Find(name.job);
   if (job == nullptr || job->step_spec(name.step).long_running) return;
-  // A percent of a slow run takes its time.
-  const Duration percent = run->expected / kComplete;
-  const Duration patience =
-      options_.stall_timeout + percent * options_.stall_timeout_percent;
-  if (ctx.now() - run->progressed_at < patience) return;
+  // Each percent of a long run takes longer.
+  const Duration one_percent = run->expected / kComplete;
+  const Duration timeout =
+      options_.stall_timeout + one_percent * options_.stall_timeout_percent;
+  if (ctx.now() - run->progressed_at < timeout) return;
   ctx.Log(LogId::kRunStalled, {{"task", ToString(name)},
                                {"runner", runner->id().value()},
                                {"percent", std::to_string(run->percent)}});
-  BackOff(ctx, runner, options_.stall_backoff, "a run stands still");
+  BackOff(ctx, runner, options_.stall_backoff, "a run stalled");
   RequestStop(ctx, runner, name);
 }
 
@@ -142,14 +146,14 @@
   const Job* job = book_.Find(name.job);
   if (job == nullptr) return;
   const StepSpec& step = job->step_spec(name.step);
-  // What saves nothing is lost either way: begun anew at once, it is not missed
-  // only once its lease is over.
-  const bool moves =
+  // A run without checkpoints loses its progress either way. Stopped now, it
+  // restarts immediately instead of only after its lease expired.
+  const bool may_move =
       step.saves_progress || (options_.move_unsaved_runs && !step.long_running);
-  if (!moves) return;
-  // A runner that only seems to leave is sound as far as anybody can tell.
-  const bool said_so = runner->info().draining;
-  if (!said_so && step.limits_unavailability()) return;
+  if (!may_move) return;
+  // A runner that only appears to be shutting down may well be healthy.
+  const bool announced = runner->info().draining;
+  if (!announced && step.limits_unavailability()) return;
   if (ctx.now() + TimeLeft(run, ctx.now()) < runner->leaves_at) return;
   ctx.Log(LogId::kRunEvacuated, {{"task", ToString(name)},
                                  {"runner", runner->id().value()},
