--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -36,18 +36,19 @@
 
 Scheduler::Scheduler(SchedulerOptions options,
                      const Leadership::Claimed& claimed,
-                     const StoreTimeout* patience, TimePoint now)
+                     const StoreTimeout* store_timeout, TimePoint now)
     : options_(options),
-      store_patience_(patience),
-      writer_(options.writer, claimed, patience, now),
-      book_(patience, options.job_registry),
+      store_timeout_(store_timeout),
+      writer_(options.writer, claimed, store_timeout, now),
+      registry_(store_timeout, options.job_registry),
       cleaner_(options.cleaner),
       fleet_(options.fleet),
       losses_(options.losses),
       planner_(options.planner) {}
 
 bool Scheduler::Owns(Ticket ticket) const {
-  return writer_.Owns(ticket) || book_.Owns(ticket) || cleaner_.Owns(ticket);
+  return writer_.Owns(ticket) || registry_.Owns(ticket) ||
+         cleaner_.Owns(ticket);
 }
 
 void Scheduler::Release() {
@@ -61,16 +62,16 @@
   if (!cleaner_.Owns(answer.ticket)) {
     return ToLeaseStatus(writer_.Handle(ctx, answer));
   }
-  cleaner_.Handle(ctx, answer, &book_, &writer_);
+  cleaner_.Handle(ctx, answer, &registry_, &writer_);
   return LeaseStatus::kHeld;
 }
 
 void Scheduler::Handle(Context& ctx, const ReadCompleted& answer) {
-  HandleChanges(ctx, book_.Handle(ctx, answer));
+  HandleChanges(ctx, registry_.Handle(ctx, answer));
 }
 
 void Scheduler::Handle(Context& ctx, const ChangesReceived& answer) {
-  HandleChanges(ctx, book_.Handle(ctx, answer));
+  HandleChanges(ctx, registry_.Handle(ctx, answer));
 }
 
 void Scheduler::Handle(Context& ctx, const RunnersListed& answer) {
@@ -86,15 +87,15 @@
 
 void Scheduler::HandleChanges(Context& ctx, const std::vector<JobId>& changed) {
   for (const JobId& id : changed) {
-    Job* job = book_.Find(id);
+    Job* job = registry_.Find(id);
     if (job == nullptr) continue;
     plan_due_ = true;
     InheritRuns(ctx, job);
     // Inherited runs may put the job into a final state, which deletes its
     // object.
-    job = book_.Find(id);
+    job = registry_.Find(id);
     if (job != nullptr) InheritLosses(ctx, *job);
-    job = book_.Find(id);
+    job = registry_.Find(id);
     if (job != nullptr && job->cancel_requested()) UpdateJobState(ctx, job);
   }
 }
@@ -138,10 +139,10 @@
   }
 }
 
-void Scheduler::MarkProgressChanged(const JobId& id) {
+void Scheduler::MarkProgressDirty(const JobId& id) {
   writer_.Mark({kProgressTable, id.value()},
                [this, id]() -> std::optional<std::string> {
-                 const Job* job = book_.Find(id);
+                 const Job* job = registry_.Find(id);
                  if (job == nullptr) return std::nullopt;
                  return EncodeProgress(*job);
                });
@@ -154,7 +155,7 @@
 void Scheduler::UpdateJobState(Context& ctx, Job* job) {
   const JobId id = job->spec().id;
   job->Settle();
-  MarkProgressChanged(id);
+  MarkProgressDirty(id);
   if (!IsFinal(job->state())) return;
   ctx.Log(LogId::kJobSettled,
           {{"job", id.value()}, {"state", ToString(job->state())}});
@@ -162,18 +163,19 @@
   // The job is forgotten once its final state is stored.
   writer_.Mark({kProgressTable, id.value()},
                [row = EncodeProgress(*job)] { return row; });
-  writer_.RunWhenStored(
-      {kProgressTable, id.value()},
-      [this, id](Context& later) { book_.RecordFinalStored(id, later.now()); });
-  advice_.Forget(id);
-  book_.MarkFinal(id);
+  writer_.RunWhenStored({kProgressTable, id.value()},
+                        [this, id](Context& later) {
+                          registry_.RecordFinalStored(id, later.now());
+                        });
+  ticket_cache_.Forget(id);
+  registry_.MarkFinal(id);
 }
 
 void Scheduler::WriteWaitingCounts(Context& ctx) {
   if (ctx.now() - waiting_counts_written_at_ < options_.waiting_counts_interval)
     return;
   waiting_counts_written_at_ = ctx.now();
-  std::string row = EncodeWaiting(book_.CountWaiting());
+  std::string row = EncodeWaiting(registry_.CountWaiting());
   if (row == written_waiting_counts_) return;
   written_waiting_counts_ = row;
   writer_.Mark({kLeadershipTable, kWaitingKey},
@@ -181,7 +183,7 @@
 }
 
 void Scheduler::Handle(Context& ctx, const AdviceReceived& answer) {
-  advice_.Handle(ctx, answer);
+  ticket_cache_.Handle(ctx, answer);
   plan_due_ = true;
 }
 
@@ -192,8 +194,8 @@
                                 {"tasks", std::to_string(wait.tasks)},
                                 {"reason", ToString(wait.reason)}});
   }
-  for (const AdviceRequest& wish : plan.advice_requests) {
-    advice_.RequestTickets(ctx, wish.step, wish.runners);
+  for (const AdviceRequest& request : plan.advice_requests) {
+    ticket_cache_.RequestTickets(ctx, request.step, request.runners);
   }
   for (const Preemption& preemption : plan.preemptions) {
     Preempt(ctx, preemption);
@@ -216,7 +218,7 @@
 
 void Scheduler::Assign(Context& ctx, const Assignment& assignment) {
   const TaskName& name = assignment.task;
-  Job* job = book_.Find(name.job);
+  Job* job = registry_.Find(name.job);
   const IncarnationId incarnation = assignment.runner->incarnation();
   job->Assign(name, assignment.run, incarnation, ctx.now());
   Run run;
@@ -240,7 +242,7 @@
            {"near_ms", near_ms},
            {"accelerators", std::to_string(run.need.accelerators)},
            {"cpu_millis", std::to_string(run.need.cpu_millis)}});
-  MarkProgressChanged(name.job);
+  MarkProgressDirty(name.job);
   writer_.RunWhenStored(
       {kProgressTable, name.job.value()},
       [this, name, number = run.number, incarnation](Context&) {
@@ -254,11 +256,12 @@
   CheckRuns(ctx);
   ResolveOverdueLosses(ctx);
   fleet_.RemoveGone(ctx);
-  if (!releasing_) cleaner_.Work(ctx, &book_, &writer_);
+  if (!releasing_) cleaner_.Work(ctx, &registry_, &writer_);
 }
 
 bool Scheduler::IsPassDue(TimePoint now) const {
-  if (!book_.loaded() || releasing_ || !writer_.store_answers()) return false;
+  if (!registry_.loaded() || releasing_ || !writer_.store_answers())
+    return false;
   if (now < next_pass_at_) return false;
   return plan_due_ || now >= planner_.next_at() ||
          now - last_pass_at_ >= options_.max_pass_interval;
@@ -267,8 +270,9 @@
 void Scheduler::RunPlanningPass(Context& ctx) {
   plan_due_ = false;
   last_pass_at_ = ctx.now();
-  const Plan plan = planner_.Decide(ctx.now(), ctx.wall_ms(), *catalog_, times_,
-                                    advice_, &book_, &fleet_);
+  const Plan plan =
+      planner_.Decide(ctx.now(), ctx.wall_ms(), *catalog_, run_time_estimator_,
+                      ticket_cache_, &registry_, &fleet_);
   next_pass_at_ =
       ctx.now() + options_.min_pass_interval +
       options_.pass_interval_per_hundred_steps * plan.steps_tried / kHundred;
@@ -292,7 +296,7 @@
 void Scheduler::HandleProcessPause(Context& ctx, Duration time) {
   writer_.RequireConfirmation(ctx.now());
   fleet_.HandleProcessPause();
-  advice_.HandleProcessPause(time);
+  ticket_cache_.HandleProcessPause(time);
   ctx.Log(LogId::kStoodStill, {{"ms", std::to_string(time.ms())},
                                {"epoch", std::to_string(epoch().value())}});
 }
@@ -303,18 +307,19 @@
     writer_.Flush(ctx);
     return;
   }
-  fleet_.List(ctx, *store_patience_);
+  fleet_.List(ctx, *store_timeout_);
   // Inherited runs can only be matched with runners once the list of runners
   // was read.
-  if (fleet_.listed_once()) book_.Work(ctx);
+  if (fleet_.listed_once()) registry_.Work(ctx);
   const bool may_renew =
       ctx.now() - writer_.confirmed_at() < options_.fleet.longest_unconfirmed;
   RunPeriodicChecks(ctx);
   if (IsPassDue(ctx.now())) RunPlanningPass(ctx);
   SendOrders(ctx);
   // The runs of a runner are only known completely once all jobs are read.
-  if (book_.loaded()) {
-    fleet_.Poll(ctx, writer_.epoch(), may_renew, book_.HasReadAllPartitions());
+  if (registry_.loaded()) {
+    fleet_.Poll(ctx, writer_.epoch(), may_renew,
+                registry_.HasReadAllPartitions());
   }
   writer_.Flush(ctx);
 }
@@ -322,11 +327,12 @@
 TimePoint Scheduler::next_at() const {
   if (!writer_.MayAct()) return writer_.next_at();
   TimePoint next = std::min(writer_.next_at(), next_check_at_);
-  next =
-      std::min(next, book_.loaded() ? fleet_.next_at() : fleet_.next_list_at());
-  if (fleet_.listed_once()) next = std::min(next, book_.next_at());
+  next = std::min(
+      next, registry_.loaded() ? fleet_.next_at() : fleet_.next_list_at());
+  if (fleet_.listed_once()) next = std::min(next, registry_.next_at());
   // A pass that is not possible now runs once the store answers again.
-  if (!book_.loaded() || releasing_ || !writer_.store_answers()) return next;
+  if (!registry_.loaded() || releasing_ || !writer_.store_answers())
+    return next;
   if (plan_due_) next = std::min(next, next_pass_at_);
   return std::min(next, std::max(next_pass_at_, planner_.next_at()));
 }
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -146,9 +146,9 @@
 /// Thread safety: none; use it from one thread.
 class Scheduler {
  public:
-  /// `patience` must outlive this object.
+  /// `store_timeout` must outlive this object.
   Scheduler(SchedulerOptions options, const Leadership::Claimed& claimed,
-            const StoreTimeout* patience, TimePoint now);
+            const StoreTimeout* store_timeout, TimePoint now);
 
   enum class LeaseStatus { kHeld, kDeposed, kReleased };
 
@@ -185,7 +185,7 @@
   void HandleChanges(Context& ctx, const std::vector<JobId>& changed);
   void InheritRuns(Context& ctx, Job* job);
   void UpdateJobState(Context& ctx, Job* job);
-  void MarkProgressChanged(const JobId& id);
+  void MarkProgressDirty(const JobId& id);
   int MaxAttempts(const Job& job) const;
   void WriteWaitingCounts(Context& ctx);
 
@@ -231,11 +231,11 @@
   void SendStop(Context& ctx, Runner* runner, const TaskName& name, int number,
                 StopRequest* stop);
   /// Records that the order in flight was answered or lost.
-  void NoteOrderAnswered(Runner* runner);
+  void RecordOrderAnswered(Runner* runner);
   /// Records a start that was sent at least once without an answer, and that
   /// may therefore arrive late.
-  void NoteLateStart(TimePoint now, Runner* runner,
-                     const StartRunCompleted& answer, const Run& run);
+  void RecordLateStart(TimePoint now, Runner* runner,
+                       const StartRunCompleted& answer, const Run& run);
   /// Handles a start that was rejected or whose outcome is unknown.
   void HandleFailedStart(Context& ctx, Runner* runner,
                          const StartRunCompleted& answer, Run* run);
@@ -273,7 +273,7 @@
   /// Updates the task according to its losses: it may start, must wait, or
   /// fails.
   void ApplyLossPolicy(Context& ctx, const TaskName& name);
-  /// Tracks losses that an earlier scheduler stored.
+  /// Tracks losses that a previous scheduler stored.
   void InheritLosses(Context& ctx, const Job& job);
   /// Records that this incarnation of the runner answered.
   void RecordContact(Context& ctx, Runner* runner, std::int64_t clock_ms);
@@ -334,20 +334,20 @@
   /// True if the end of a superseded run must not be acknowledged yet, because
   /// the platform would then count it against the later runs of its task.
   /// `presumed_over`: the run was already ended here without a reported end.
-  bool MustDeferAcknowledgment(const Runner& runner, const ReportedEnd& end,
-                               bool presumed_over);
+  bool MustDeferAcknowledgement(const Runner& runner, const ReportedEnd& end,
+                                bool presumed_over);
   /// Handles the end of a run that is no longer tracked.
   void HandleLateEnd(Context& ctx, const Runner& runner,
                      const ReportedEnd& end);
   void HandleRunningRun(Context& ctx, Runner* runner,
                         const ReportedRun& listed);
-  /// Resources that an unwanted run takes, as far as they are known.
-  Resources NeedOfUnwantedRun(const Runner& runner, const TaskName& name);
+  /// Resources that an orphaned run takes, as far as they are known.
+  Resources NeedOfOrphan(const Runner& runner, const TaskName& name);
   /// True if the runner itself rejects starts that exceed its capacity.
   bool EnforcesCapacity(const Runner& runner) const;
-  /// Forgets unwanted runs that the runner no longer reports.
-  static void ForgetUnwantedRuns(Runner* runner,
-                                 const std::vector<ReportedRun>& running);
+  /// Forgets orphaned runs that the runner no longer reports.
+  static void ForgetOrphans(Runner* runner,
+                            const std::vector<ReportedRun>& running);
   /// Measures a run's pace by its progress and updates the estimates.
   void MeasurePace(Context& ctx, Runner* runner, Job* job, const TaskName& name,
                    Run* run);
@@ -391,14 +391,14 @@
                      const Run& run);
 
   SchedulerOptions options_;
-  const StoreTimeout* store_patience_;
+  const StoreTimeout* store_timeout_;
   StateWriter writer_;
-  JobRegistry book_;
+  JobRegistry registry_;
   JobCleaner cleaner_;
   Fleet fleet_;
   LossTracker losses_;
-  RunTimeEstimator times_;
-  TicketCache advice_;
+  RunTimeEstimator run_time_estimator_;
+  TicketCache ticket_cache_;
   Planner planner_;
   const Catalog* catalog_ = nullptr;
   /// Runners that may have an order to send or a queued start to drop.
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -160,21 +160,21 @@
   run.progressed_at = ctx.now();
   run.pace_measured_from = TimePoint();
   next->Add(name, run);
-  Job* job = book_.Find(name.job);
+  Job* job = registry_.Find(name.job);
   // The stored row of a run from an even earlier incarnation keeps naming that
   // one, until the run is resolved.
   if (job == nullptr || IsOfEarlierIncarnation(*next, run)) return;
   job->MoveRun(name, run.number, next->incarnation());
-  MarkProgressChanged(name.job);
+  MarkProgressDirty(name.job);
 }
 
 void Scheduler::CancelLateStarts(Context& ctx, Runner* next) {
   for (const auto& [key, start] :
        next->late_orders.StartsArrivingAfter(ctx.now())) {
     if (next->FindRun(key.first, key.second) != nullptr) continue;
-    OrphanedRun& orphans = next->AddOrphan(key, start.need);
-    orphans.may_start_late = true;
-    orphans.stop.Request(ctx.now(), options_.stop_retry_interval);
+    OrphanedRun& orphan = next->AddOrphan(key, start.need);
+    orphan.may_start_late = true;
+    orphan.stop.Request(ctx.now(), options_.stop_retry_interval);
   }
   orders_due_.insert(next->id());
 }
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -122,7 +122,7 @@
 void Scheduler::CountLoss(Context& ctx, const Runner& runner,
                           const TaskName& name, const Run& run,
                           const RunnerLoss& loss) {
-  Job* job = book_.Find(name.job);
+  Job* job = registry_.Find(name.job);
   if (job == nullptr || loss.cause == RunnerLossCause::kLeft) return;
   // A run that never began can not have crashed its runner, and a start that
   // may arrive late counts only once.
@@ -168,14 +168,14 @@
 void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& incarnation,
                               IncarnationFate fate) {
   for (const TaskName& name : losses_.Resolve(incarnation)) {
-    Job* job = book_.Find(name.job);
+    Job* job = registry_.Find(name.job);
     if (job == nullptr || !job->ResolveLosses(name, incarnation, fate))
       continue;
     ctx.Log(LogId::kLossSettled, {{"task", ToString(name)},
                                   {"runner", incarnation.runner.value()},
                                   {"born", ToString(incarnation.start_time)},
                                   {"lives", ToString(fate)}});
-    MarkProgressChanged(name.job);
+    MarkProgressDirty(name.job);
     ApplyLossPolicy(ctx, name);
     plan_due_ = true;
   }
@@ -200,7 +200,7 @@
 }
 
 void Scheduler::ApplyLossPolicy(Context& ctx, const TaskName& name) {
-  Job* job = book_.Find(name.job);
+  Job* job = registry_.Find(name.job);
   if (job == nullptr) return;
   Task* task = job->Find(name);
   const LossVerdict verdict =
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -122,7 +122,7 @@
                                                          const Runner& runner,
                                                          const TaskName& name,
                                                          const Run& run) {
-  const Job* job = book_.Find(name.job);
+  const Job* job = registry_.Find(name.job);
   if (job == nullptr) return StartDropReason::kJobFinished;
   const Task& task =
       job->occurrences()[name.occurrence].steps[name.step].tasks[name.index];
@@ -155,8 +155,8 @@
 
 std::string Scheduler::TicketOf(TimePoint now, const Runner& runner,
                                 const TaskName& name) const {
-  return advice_.TicketFor({name.job, name.occurrence, name.step},
-                           runner.incarnation(), now);
+  return ticket_cache_.TicketFor({name.job, name.occurrence, name.step},
+                                 runner.incarnation(), now);
 }
 
 void Scheduler::DropStart(Context& ctx, Runner* runner, const TaskName& name,
@@ -175,9 +175,9 @@
     SendStop(ctx, runner, name, run.number, &run.stop);
     return true;
   }
-  for (auto& [run, orphans] : runner->orphans()) {
-    if (!orphans.stop.queued()) continue;
-    SendStop(ctx, runner, run.first, run.second, &orphans.stop);
+  for (auto& [run, orphan] : runner->orphans()) {
+    if (!orphan.stop.queued()) continue;
+    SendStop(ctx, runner, run.first, run.second, &orphan.stop);
     return true;
   }
   return false;
@@ -185,7 +185,7 @@
 
 void Scheduler::SendStart(Context& ctx, Runner* runner, const TaskName& name,
                           Run* run) {
-  const Job* job = book_.Find(name.job);
+  const Job* job = registry_.Find(name.job);
   run->phase = RunPhase::kStarting;
   run->sent_at = ctx.now();
   runner->order_in_flight = true;
@@ -210,7 +210,7 @@
   ctx.Emit(StopRun{Fleet::TargetOf(*runner, writer_.epoch()), name, number});
 }
 
-void Scheduler::NoteOrderAnswered(Runner* runner) {
+void Scheduler::RecordOrderAnswered(Runner* runner) {
   runner->order_in_flight = false;
   orders_due_.insert(runner->id());
 }
@@ -243,7 +243,7 @@
 }
 
 void Scheduler::StopGang(Context& ctx, const TaskName& name) {
-  Job* job = book_.Find(name.job);
+  Job* job = registry_.Find(name.job);
   if (job == nullptr || !job->step_spec(name.step).gang) return;
   const Step& step = job->occurrences()[name.occurrence].steps[name.step];
   for (std::size_t i = 0; i < step.tasks.size(); ++i) {
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -50,7 +50,7 @@
   Duration& shortest = step.observed_durations[runner->incarnation()];
   shortest = shortest == Duration(0) ? measured : std::min(shortest, measured);
   const std::optional<double> factor =
-      times_.UpperBoundFactor(job->spec().queue);
+      run_time_estimator_.UpperBoundFactor(job->spec().queue);
   if (!factor.has_value()) return;
   const Duration expected = std::max({run.expected, elsewhere, Duration(1)});
   const double ratio = duration_ms / static_cast<double>(expected.ms());
@@ -79,8 +79,8 @@
   step.duration_known = true;
   const Duration full_duration =
       (ctx.now() - run->started_at) * kComplete / run->percent;
-  times_.AddSample(job->spec().queue, job->step_spec(name.step).estimate,
-                   full_duration);
+  run_time_estimator_.AddSample(
+      job->spec().queue, job->step_spec(name.step).estimate, full_duration);
 }
 
 void Scheduler::MoveOffSlowRunner(Context& ctx, Runner* runner,
@@ -125,7 +125,7 @@
                            Run* run) {
   if (run->phase != RunPhase::kRunning || run->stopping) return;
   if (!runner->reachable() || run->percent >= kComplete) return;
-  const Job* job = book_.Find(name.job);
+  const Job* job = registry_.Find(name.job);
   if (job == nullptr || job->step_spec(name.step).long_running) return;
   // Each percent of a long run takes longer.
   const Duration one_percent = run->expected / kComplete;
@@ -143,7 +143,7 @@
                               const TaskName& name, const Run& run) {
   if (!runner->draining_since().has_value() || run.stopping) return;
   if (run.phase != RunPhase::kRunning) return;
-  const Job* job = book_.Find(name.job);
+  const Job* job = registry_.Find(name.job);
   if (job == nullptr) return;
   const StepSpec& step = job->step_spec(name.step);
   // A run without checkpoints loses its progress either way. Stopped now, it
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -55,12 +55,12 @@
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
   if (runner == nullptr) return LeaseStatus::kHeld;
-  NoteOrderAnswered(runner);
+  RecordOrderAnswered(runner);
   RecordOrderContact(ctx, runner, answer.clock_ms);
   plan_due_ = true;
   Run* run = runner->FindRun(answer.task, answer.run);
   if (run == nullptr) return LeaseStatus::kHeld;
-  NoteLateStart(ctx.now(), runner, answer, *run);
+  RecordLateStart(ctx.now(), runner, answer, *run);
   run->answered_at = ctx.now();
   if (answer.outcome == OrderOutcome::kDone) {
     run->phase = RunPhase::kRunning;
@@ -74,8 +74,9 @@
   return LeaseStatus::kHeld;
 }
 
-void Scheduler::NoteLateStart(TimePoint now, Runner* runner,
-                              const StartRunCompleted& answer, const Run& run) {
+void Scheduler::RecordLateStart(TimePoint now, Runner* runner,
+                                const StartRunCompleted& answer,
+                                const Run& run) {
   const bool may_arrive_late =
       answer.earlier_attempt_pending || answer.outcome == OrderOutcome::kLost;
   if (!may_arrive_late) return;
@@ -122,7 +123,7 @@
   if (answer.outcome == OrderOutcome::kFenced) return LeaseStatus::kDeposed;
   Runner* runner = fleet_.Find(answer.asked);
   if (runner == nullptr) return LeaseStatus::kHeld;
-  NoteOrderAnswered(runner);
+  RecordOrderAnswered(runner);
   RecordOrderContact(ctx, runner, answer.clock_ms);
   if (answer.outcome == OrderOutcome::kOtherIncarnation) {
     EndAllRuns(ctx, runner, "another incarnation answers at its address");
@@ -130,10 +131,10 @@
   }
   const bool answered = answer.outcome == OrderOutcome::kDone ||
                         answer.outcome == OrderOutcome::kStaleRun;
-  const auto orphans = runner->orphans().find({answer.task, answer.run});
-  if (orphans != runner->orphans().end()) {
-    orphans->second.stop.Answered(answered);
-    if (answered) orphans->second.may_start_late = false;
+  const auto orphan = runner->orphans().find({answer.task, answer.run});
+  if (orphan != runner->orphans().end()) {
+    orphan->second.stop.Answered(answered);
+    if (answered) orphan->second.may_start_late = false;
   }
   Run* run = runner->FindRun(answer.task, answer.run);
   if (run == nullptr) return LeaseStatus::kHeld;
@@ -162,7 +163,7 @@
                              {"runner", runner->id().value()},
                              {"end", ToString(end)},
                              {"saved", checkpoint.empty() ? "" : "yes"}});
-  Job* job = book_.Find(name.job);
+  Job* job = registry_.Find(name.job);
   if (job == nullptr) return;
   // For a lost run, `CountLoss` compares its duration with earlier losses.
   if (end != RunEnd::kLeaseExpired)
@@ -189,18 +190,18 @@
 }
 
 void Scheduler::EndExpiredRuns(Context& ctx, Runner* runner) {
-  std::vector<TaskName> lapsed;
+  std::vector<TaskName> expired;
   std::vector<TaskName> of_previous_incarnation;
   for (const auto& [name, run] : runner->runs()) {
     const bool may_still_start =
         run.phase == RunPhase::kUnconfirmed &&
         ctx.now() - run.answered_at < options_.late_order_window;
     if (may_still_start) continue;
-    (IsOfEarlierIncarnation(*runner, run) ? of_previous_incarnation : lapsed)
+    (IsOfEarlierIncarnation(*runner, run) ? of_previous_incarnation : expired)
         .push_back(name);
   }
   const std::size_t ended_count =
-      lapsed.size() + of_previous_incarnation.size();
+      expired.size() + of_previous_incarnation.size();
   if (ended_count == 0) return;
   ctx.Log(LogId::kRunnerLost, {{"runner", runner->id().value()},
                                {"reason", "its lease expired"},
@@ -210,8 +211,8 @@
     MarkRunsLost(ctx, runner, of_previous_incarnation,
                  RunnerLossCause::kUnknown);
   }
-  if (lapsed.empty()) return;
-  MarkRunsLost(ctx, runner, lapsed,
+  if (expired.empty()) return;
+  MarkRunsLost(ctx, runner, expired,
                runner->LeftAsAnnounced() ? RunnerLossCause::kLeft
                                          : RunnerLossCause::kUnknown);
 }
@@ -253,7 +254,7 @@
                          answer.ended.size() < kMaxListedEnds;
   for (const ReportedRun& run : answer.running)
     HandleRunningRun(ctx, runner, run);
-  ForgetUnwantedRuns(runner, answer.running);
+  ForgetOrphans(runner, answer.running);
   // A run that is not reported as running may be among the ends that were not
   // handled.
   if (all_taken) HandleUnlistedRuns(ctx, runner, answer);
@@ -268,7 +269,7 @@
         std::max(runner->newest_expired_end, end.number);
   }
   for (const ReportedEnd& end : ends) {
-    if (!book_.HasReadPartitionOf(end.task.job)) {
+    if (!registry_.HasReadPartitionOf(end.task.job)) {
       // The runner answers a poll immediately while it has unacknowledged ends,
       // so the next poll is delayed.
       runner->next_poll_at = ctx.now() + options_.fleet.unstored_end_wait;
@@ -287,7 +288,7 @@
   if (run == nullptr) {
     const bool presumed_over =
         runner->presumed_over.erase({end.task, end.run}) != 0;
-    if (MustDeferAcknowledgment(*runner, end, presumed_over)) {
+    if (MustDeferAcknowledgement(*runner, end, presumed_over)) {
       const TimePoint until = runner->DeferAcknowledgement(
           end.number, ctx.now(), options_.fleet.run_lease);
       BackOff(ctx, runner, until - ctx.now(),
@@ -316,9 +317,9 @@
 // been stopped, so the lease has to expire first. Runs that are active on the
 // runner now must not expire with it, so nothing is deferred while there are
 // any.
-bool Scheduler::MustDeferAcknowledgment(const Runner& runner,
-                                        const ReportedEnd& end,
-                                        bool presumed_over) {
+bool Scheduler::MustDeferAcknowledgement(const Runner& runner,
+                                         const ReportedEnd& end,
+                                         bool presumed_over) {
   if (end.end != RunEnd::kDone && end.end != RunEnd::kFailed) return false;
   if (end.number < runner.newest_expired_end) return false;
   const bool has_active_runs = std::any_of(
@@ -326,7 +327,7 @@
         return run.second.phase != RunPhase::kUnconfirmed;
       });
   if (has_active_runs) return false;
-  Job* job = book_.Find(end.task.job);
+  Job* job = registry_.Find(end.task.job);
   const Task* task = job == nullptr ? nullptr : job->Find(end.task);
   if (task == nullptr) return presumed_over;
   // The platform counts a failure that was not counted here once it is
@@ -340,7 +341,7 @@
 // would only duplicate it.
 void Scheduler::HandleLateEnd(Context& ctx, const Runner& runner,
                               const ReportedEnd& end) {
-  Job* job = book_.Find(end.task.job);
+  Job* job = registry_.Find(end.task.job);
   if (job == nullptr || end.end != RunEnd::kDone) return;
   const Task* task = job->Find(end.task);
   if (task == nullptr || end.run > task->run) return;
@@ -360,14 +361,14 @@
 void Scheduler::HandleRunningRun(Context& ctx, Runner* runner,
                                  const ReportedRun& listed) {
   Run* run = runner->FindRun(listed.task, listed.run);
-  if (run == nullptr && !book_.HasReadPartitionOf(listed.task.job)) return;
+  if (run == nullptr && !registry_.HasReadPartitionOf(listed.task.job)) return;
   if (run == nullptr) {
     // No task waits for this run. Polls may follow each other hundreds of times
     // a second; sending a stop for each would delay all other orders to the
     // runner.
     runner
         ->AddOrphan({listed.task, listed.run},
-                    NeedOfUnwantedRun(*runner, listed.task))
+                    NeedOfOrphan(*runner, listed.task))
         .stop.Request(ctx.now(), options_.stop_retry_interval);
     orders_due_.insert(runner->id());
     return;
@@ -379,7 +380,7 @@
       run->phase == RunPhase::kUnconfirmed) {
     run->phase = RunPhase::kRunning;
   }
-  Job* job = book_.Find(listed.task.job);
+  Job* job = registry_.Find(listed.task.job);
   if (job == nullptr) {
     RequestStop(ctx, runner, listed.task);
     return;
@@ -390,9 +391,8 @@
   job->SaveProgress(listed.task, listed.checkpoint);
 }
 
-Resources Scheduler::NeedOfUnwantedRun(const Runner& runner,
-                                       const TaskName& name) {
-  const Job* job = book_.Find(name.job);
+Resources Scheduler::NeedOfOrphan(const Runner& runner, const TaskName& name) {
+  const Job* job = registry_.Find(name.job);
   if (job != nullptr && job->HasStep(name.step)) {
     return job->step_spec(name.step).room();
   }
@@ -407,8 +407,8 @@
          service->second.enforces_capacity;
 }
 
-void Scheduler::ForgetUnwantedRuns(Runner* runner,
-                                   const std::vector<ReportedRun>& running) {
+void Scheduler::ForgetOrphans(Runner* runner,
+                              const std::vector<ReportedRun>& running) {
   std::set<RunKey> reported;
   for (const ReportedRun& run : running) reported.insert({run.task, run.run});
   runner->RemoveOrphansExcept(reported);
@@ -419,7 +419,7 @@
   std::set<TaskName> running;
   for (const ReportedRun& run : answer.running) running.insert(run.task);
   std::vector<TaskName> lost;
-  std::vector<TaskName> lapsed;
+  std::vector<TaskName> unlisted;
   std::vector<TaskName> unsure;
   for (const auto& [name, run] : runner->runs()) {
     if (running.count(name) != 0) continue;
@@ -431,13 +431,13 @@
     if (may_still_start) {
       unsure.push_back(name);
     } else {
-      (IsOfEarlierIncarnation(*runner, run) ? lost : lapsed).push_back(name);
+      (IsOfEarlierIncarnation(*runner, run) ? lost : unlisted).push_back(name);
     }
   }
-  // These runs were started by an earlier scheduler on an earlier incarnation,
+  // These runs were started by a previous scheduler on an earlier incarnation,
   // and were lost with it.
   if (!lost.empty()) MarkRunsLost(ctx, runner, lost, RunnerLossCause::kCrashed);
-  for (const TaskName& name : lapsed) EndUnlistedRun(ctx, runner, name);
+  for (const TaskName& name : unlisted) EndUnlistedRun(ctx, runner, name);
   for (const TaskName& name : unsure) {
     RequestStop(ctx, runner, name);
     StopGang(ctx, name);
