--- a/test/order-queue-test.cc
+++ b/test/order-queue-test.cc
@@ -80,7 +80,8 @@
   }
 
   static void CheckNoViolationIn(const EmulatedSystem& other) {
-    for (const std::string& error : other.violations()) FAIL(error.c_str());
+    for (const std::string& violation : other.violations())
+      FAIL(violation.c_str());
   }
 };
 
@@ -104,7 +105,7 @@
   }
 }
 
-TEST(OrderQueue, QueuedStartsOfASilentRunnerArePlacedElsewhere) {
+TEST(OrderQueue, StartsThatWaitForASilentRunnerArePlacedElsewhereAtOnce) {
   EmulatedSystem pair(WithRunners(2));
   StartScheduling(&pair);
   const std::string silent_runner = pair.RunnerIds().front().value();
@@ -123,7 +124,7 @@
 // One member's start was queued behind other starts while the other member
 // ended without its gang. The queued start was then sent for a gang run that
 // had already ended.
-TEST(OrderQueue, GangMemberIsNotStartedAfterItsGangEnded) {
+TEST(OrderQueue, MemberIsNotStartedOnceItsGangIsOver) {
   EmulatedSystem pair(WithRunners(2));
   StartScheduling(&pair);
   pair.faults().order_time = Duration(600);
@@ -153,7 +154,7 @@
   CheckNoViolation();
 }
 
-TEST(OrderQueue, StopsAreSentBeforeStarts) {
+TEST(OrderQueue, StopsGoBeforeStarts) {
   EmulatedSystem single(WithRunners(1));
   StartScheduling(&single);
   const JobId first = SubmitTo(&single, Step(2, 0, kLongWork));
@@ -171,7 +172,7 @@
   CheckNoViolationIn(single);
 }
 
-TEST(OrderQueue, QueuedStartIsNotSentAfterItsTicketExpired) {
+TEST(OrderQueue, StartWhoseTicketRanOutWhileItWaitedIsNotSent) {
   EmulatedSystem single(WithRunners(1));
   StartScheduling(&single);
   single.faults().order_time = Duration(600);
@@ -199,7 +200,7 @@
   CheckNoViolationIn(single);
 }
 
-TEST(OrderQueue, QueuedStartOfACancelledJobIsNotSent) {
+TEST(OrderQueue, StartOfACancelledJobThatWaitsIsNeverSent) {
   EmulatedSystem single(WithRunners(1));
   StartScheduling(&single);
   single.faults().order_time = Duration(200);
