--- a/test/take-over-test.cc
+++ b/test/take-over-test.cc
@@ -48,7 +48,7 @@
 // A gang of urgent work used to wait 12 s for a runner that had left. The new
 // scheduler had polled the runner successfully, but still assumed the 15.8 s
 // that a lease may last on a runner that never answered.
-TEST(TakeOver, RunsRestartSoonerIfTheirLostRunnerHadAnswered) {
+TEST(TakeOver, RunsOfARunnerThatGoesOnceHeardStartAgainSooner) {
   const JobId job = Submit(Step(1, 8, Duration(9000)));
   system.Run(Duration(1000));
   system.KillNode(system.leader(), Duration(60000));
@@ -87,7 +87,7 @@
 // A scheduler used to continue after a pause of its process as if no time had
 // passed. It sent queued orders and granted leases before it learned that
 // another node had become the scheduler.
-TEST(TakeOver, PausedSchedulerDoesNothingBeforeItsLeaseIsConfirmed) {
+TEST(TakeOver, SchedulerThatStoodStillActsOnNothingBeforeItsRightIsConfirmed) {
   for (const int pause_ms : {1600, 2500, 4000, 7000}) {
     EmulatedSystem other{SystemOptions()};
     other.Run(Duration(3000));
@@ -100,7 +100,8 @@
     other.Run(Duration(3000));
     other.faults() = Faults();
     other.Run(Duration(20000));
-    for (const std::string& error : other.violations()) FAIL(error.c_str());
+    for (const std::string& violation : other.violations())
+      FAIL(violation.c_str());
     for (const auto& [id, watch] : other.jobs()) {
       STRCMP_EQUAL("done", other.StateOf(id).c_str());
     }
@@ -127,10 +128,10 @@
   CheckNoViolation();
 }
 
-// A runner answered and was then cut off, and a run on it was read from the
-// store only afterwards. The lease from the previous scheduler was wrongly
+// A runner answered and was then partitioned, and only afterwards a run on it
+// was read from the store. The lease from the previous scheduler was wrongly
 // taken for expired.
-TEST(TakeOver, RunThatIsReadLateIsNotStartedTwice) {
+TEST(TakeOver, RunThatIsLearntLateIsNotStartedElsewhereBesideItself) {
   for (int cut_off_at = 2000; cut_off_at < 3600; cut_off_at += 100) {
     EmulatedSystem emulated{SystemOptions()};
     emulated.Run(Duration(3000));
@@ -149,34 +150,36 @@
     emulated.Run(Duration(100));
     emulated.faults().parts_down.clear();
     emulated.Run(Duration(9000));
-    for (const std::string& error : emulated.violations()) FAIL(error.c_str());
+    for (const std::string& violation : emulated.violations())
+      FAIL(violation.c_str());
   }
 }
 
 // A runner that does not enforce its capacity would be overcommitted if it got
 // new runs before all of its current runs are known.
-TEST(TakeOver, RunnersWithoutCapacityChecksGetNoRunsUntilAllAreKnown) {
+TEST(TakeOver, UnguardedRunnersGetNothingWhileRunsAreNotKnown) {
   SystemOptions options;
   options.enforces_capacity = false;
-  EmulatedSystem other(options);
-  other.Run(Duration(3000));
+  EmulatedSystem unguarded(options);
+  unguarded.Run(Duration(3000));
   const std::string unavailable_partition = dispatch::AllJobPartitions()[0];
-  other.faults().parts_down = {unavailable_partition};
-  other.KillNode(other.leader(), Duration(500));
-  other.Run(Duration(5000));
+  unguarded.faults().parts_down = {unavailable_partition};
+  unguarded.KillNode(unguarded.leader(), Duration(500));
+  unguarded.Run(Duration(5000));
   std::vector<JobId> jobs;
   for (int i = 0; i < 4; ++i) {
     dispatch::JobSpec spec;
     spec.steps = {Step(1, 1, Duration(300))};
     spec.policy.priority = 1;
-    jobs.push_back(other.Submit(spec, {TaskTruth()}));
+    jobs.push_back(unguarded.Submit(spec, {TaskTruth()}));
   }
-  other.Run(Duration(2000));
-  for (const JobId& job : jobs) CHECK_TRUE(other.jobs().at(job).starts.empty());
-  other.faults().parts_down.clear();
-  other.Run(Duration(5000));
+  unguarded.Run(Duration(2000));
+  for (const JobId& job : jobs)
+    CHECK_TRUE(unguarded.jobs().at(job).starts.empty());
+  unguarded.faults().parts_down.clear();
+  unguarded.Run(Duration(5000));
   for (const JobId& job : jobs) {
-    STRCMP_EQUAL("done", other.StateOf(job).c_str());
+    STRCMP_EQUAL("done", unguarded.StateOf(job).c_str());
   }
 }
 
