--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -123,7 +123,7 @@
   kCrashed,
   /// It was known to be shutting down.
   kLeft,
-  /// It does not answer: it may have crashed, or be partitioned and still
+  /// It does not answer: it may have crashed, or be cut off and still
   /// running.
   kUnknown,
 };
