--- a/test/take-over-test.cc
+++ b/test/take-over-test.cc
@@ -128,8 +128,8 @@
   CheckNoViolation();
 }
 
-// A runner answered and was then partitioned, and only afterwards a run on it
-// was read from the store. The lease from the previous scheduler was wrongly
+// A runner answered and was then cut off, and a run on it was read from the
+// store only afterwards. The lease from the previous scheduler was wrongly
 // taken for expired.
 TEST(TakeOver, RunThatIsLearntLateIsNotStartedElsewhereBesideItself) {
   for (int cut_off_at = 2000; cut_off_at < 3600; cut_off_at += 100) {
