--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -19,7 +19,7 @@
 // How often runs are checked for silent runners, stalls and draining runners.
 constexpr Duration kCheckInterval{100};
 // Number of steps that `pass_interval_per_hundred_steps` refers to.
-constexpr int kHundred = 100;
+constexpr int kStepsPerDelay = 100;
 
 Scheduler::LeaseStatus ToLeaseStatus(StateWriter::LeaseStatus verdict) {
   switch (verdict) {
@@ -40,15 +40,14 @@
     : options_(options),
       store_timeout_(store_timeout),
       writer_(options.writer, claimed, store_timeout, now),
-      registry_(store_timeout, options.job_registry),
+      jobs_(store_timeout, options.job_registry),
       cleaner_(options.cleaner),
       fleet_(options.fleet),
       losses_(options.losses),
       planner_(options.planner) {}
 
 bool Scheduler::Owns(Ticket ticket) const {
-  return writer_.Owns(ticket) || registry_.Owns(ticket) ||
-         cleaner_.Owns(ticket);
+  return writer_.Owns(ticket) || jobs_.Owns(ticket) || cleaner_.Owns(ticket);
 }
 
 void Scheduler::Release() {
@@ -62,16 +61,16 @@
   if (!cleaner_.Owns(answer.ticket)) {
     return ToLeaseStatus(writer_.Handle(ctx, answer));
   }
-  cleaner_.Handle(ctx, answer, &registry_, &writer_);
+  cleaner_.Handle(ctx, answer, &jobs_, &writer_);
   return LeaseStatus::kHeld;
 }
 
 void Scheduler::Handle(Context& ctx, const ReadCompleted& answer) {
-  HandleChanges(ctx, registry_.Handle(ctx, answer));
+  HandleChanges(ctx, jobs_.Handle(ctx, answer));
 }
 
 void Scheduler::Handle(Context& ctx, const ChangesReceived& answer) {
-  HandleChanges(ctx, registry_.Handle(ctx, answer));
+  HandleChanges(ctx, jobs_.Handle(ctx, answer));
 }
 
 void Scheduler::Handle(Context& ctx, const RunnersListed& answer) {
@@ -87,15 +86,15 @@
 
 void Scheduler::HandleChanges(Context& ctx, const std::vector<JobId>& changed) {
   for (const JobId& id : changed) {
-    Job* job = registry_.Find(id);
+    Job* job = jobs_.Find(id);
     if (job == nullptr) continue;
     plan_due_ = true;
     InheritRuns(ctx, job);
     // Inherited runs may put the job into a final state, which deletes its
     // object.
-    job = registry_.Find(id);
+    job = jobs_.Find(id);
     if (job != nullptr) InheritLosses(ctx, *job);
-    job = registry_.Find(id);
+    job = jobs_.Find(id);
     if (job != nullptr && job->cancel_requested()) UpdateJobState(ctx, job);
   }
 }
@@ -142,7 +141,7 @@
 void Scheduler::MarkProgressDirty(const JobId& id) {
   writer_.Mark({kProgressTable, id.value()},
                [this, id]() -> std::optional<std::string> {
-                 const Job* job = registry_.Find(id);
+                 const Job* job = jobs_.Find(id);
                  if (job == nullptr) return std::nullopt;
                  return EncodeProgress(*job);
                });
@@ -163,19 +162,18 @@
   // The job is forgotten once its final state is stored.
   writer_.Mark({kProgressTable, id.value()},
                [row = EncodeProgress(*job)] { return row; });
-  writer_.RunWhenStored({kProgressTable, id.value()},
-                        [this, id](Context& later) {
-                          registry_.RecordFinalStored(id, later.now());
-                        });
+  writer_.RunWhenStored(
+      {kProgressTable, id.value()},
+      [this, id](Context& later) { jobs_.RecordFinalStored(id, later.now()); });
   ticket_cache_.Forget(id);
-  registry_.MarkFinal(id);
+  jobs_.MarkFinal(id);
 }
 
 void Scheduler::WriteWaitingCounts(Context& ctx) {
   if (ctx.now() - waiting_counts_written_at_ < options_.waiting_counts_interval)
     return;
   waiting_counts_written_at_ = ctx.now();
-  std::string row = EncodeWaiting(registry_.CountWaiting());
+  std::string row = EncodeWaiting(jobs_.CountWaiting());
   if (row == written_waiting_counts_) return;
   written_waiting_counts_ = row;
   writer_.Mark({kLeadershipTable, kWaitingKey},
@@ -218,7 +216,7 @@
 
 void Scheduler::Assign(Context& ctx, const Assignment& assignment) {
   const TaskName& name = assignment.task;
-  Job* job = registry_.Find(name.job);
+  Job* job = jobs_.Find(name.job);
   const IncarnationId incarnation = assignment.runner->incarnation();
   job->Assign(name, assignment.run, incarnation, ctx.now());
   Run run;
@@ -256,12 +254,11 @@
   CheckRuns(ctx);
   ResolveOverdueLosses(ctx);
   fleet_.RemoveGone(ctx);
-  if (!releasing_) cleaner_.Work(ctx, &registry_, &writer_);
+  if (!releasing_) cleaner_.Work(ctx, &jobs_, &writer_);
 }
 
 bool Scheduler::IsPassDue(TimePoint now) const {
-  if (!registry_.loaded() || releasing_ || !writer_.store_answers())
-    return false;
+  if (!jobs_.loaded() || releasing_ || !writer_.store_answers()) return false;
   if (now < next_pass_at_) return false;
   return plan_due_ || now >= planner_.next_at() ||
          now - last_pass_at_ >= options_.max_pass_interval;
@@ -272,10 +269,10 @@
   last_pass_at_ = ctx.now();
   const Plan plan =
       planner_.Decide(ctx.now(), ctx.wall_ms(), *catalog_, run_time_estimator_,
-                      ticket_cache_, &registry_, &fleet_);
-  next_pass_at_ =
-      ctx.now() + options_.min_pass_interval +
-      options_.pass_interval_per_hundred_steps * plan.steps_tried / kHundred;
+                      ticket_cache_, &jobs_, &fleet_);
+  next_pass_at_ = ctx.now() + options_.min_pass_interval +
+                  options_.pass_interval_per_hundred_steps * plan.steps_tried /
+                      kStepsPerDelay;
   ApplyPlan(ctx, plan);
   LogIdleAccelerators(ctx, plan);
   WriteWaitingCounts(ctx);
@@ -284,13 +281,13 @@
 void Scheduler::LogIdleAccelerators(Context& ctx, const Plan& plan) {
   if (plan.steps_waiting == 0 || ctx.now() < next_idle_accelerators_at_) return;
   next_idle_accelerators_at_ = ctx.now() + options_.idle_accelerators_interval;
-  const IdleAccelerators& room = plan.idle_accelerators;
+  const IdleAccelerators& idle = plan.idle_accelerators;
   ctx.Log(LogId::kIdleRoom,
           {{"steps", std::to_string(plan.steps_waiting)},
-           {"accelerators", std::to_string(room.all)},
-           {"urgent_racks", std::to_string(room.urgent_racks)},
-           {"kept", std::to_string(room.kept)},
-           {"open", std::to_string(room.open)}});
+           {"accelerators", std::to_string(idle.all)},
+           {"urgent_racks", std::to_string(idle.urgent_racks)},
+           {"kept", std::to_string(idle.kept)},
+           {"open", std::to_string(idle.open)}});
 }
 
 void Scheduler::HandleProcessPause(Context& ctx, Duration time) {
@@ -310,16 +307,15 @@
   fleet_.List(ctx, *store_timeout_);
   // Inherited runs can only be matched with runners once the list of runners
   // was read.
-  if (fleet_.listed_once()) registry_.Work(ctx);
+  if (fleet_.listed_once()) jobs_.Work(ctx);
   const bool may_renew =
       ctx.now() - writer_.confirmed_at() < options_.fleet.longest_unconfirmed;
   RunPeriodicChecks(ctx);
   if (IsPassDue(ctx.now())) RunPlanningPass(ctx);
   SendOrders(ctx);
   // The runs of a runner are only known completely once all jobs are read.
-  if (registry_.loaded()) {
-    fleet_.Poll(ctx, writer_.epoch(), may_renew,
-                registry_.HasReadAllPartitions());
+  if (jobs_.loaded()) {
+    fleet_.Poll(ctx, writer_.epoch(), may_renew, jobs_.HasReadAllPartitions());
   }
   writer_.Flush(ctx);
 }
@@ -327,12 +323,11 @@
 TimePoint Scheduler::next_at() const {
   if (!writer_.MayAct()) return writer_.next_at();
   TimePoint next = std::min(writer_.next_at(), next_check_at_);
-  next = std::min(
-      next, registry_.loaded() ? fleet_.next_at() : fleet_.next_list_at());
-  if (fleet_.listed_once()) next = std::min(next, registry_.next_at());
+  next =
+      std::min(next, jobs_.loaded() ? fleet_.next_at() : fleet_.next_list_at());
+  if (fleet_.listed_once()) next = std::min(next, jobs_.next_at());
   // A pass that is not possible now runs once the store answers again.
-  if (!registry_.loaded() || releasing_ || !writer_.store_answers())
-    return next;
+  if (!jobs_.loaded() || releasing_ || !writer_.store_answers()) return next;
   if (plan_due_) next = std::min(next, next_pass_at_);
   return std::min(next, std::max(next_pass_at_, planner_.next_at()));
 }
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -150,6 +150,7 @@
   Scheduler(SchedulerOptions options, const Leadership::Claimed& claimed,
             const StoreTimeout* store_timeout, TimePoint now);
 
+  /// Whether this node still holds the scheduler lease.
   enum class LeaseStatus { kHeld, kDeposed, kReleased };
 
   /// True if `ticket` belongs to a call that this scheduler made.
@@ -253,10 +254,10 @@
 
   // Lost runs (scheduler_losses.cc).
   /// Records the loss of the runner and of the runs `names`. Those also in
-  /// `held` count as lost but are ended later.
+  /// `end_later` count as lost but are ended later.
   void MarkRunsLost(Context& ctx, Runner* runner,
                     const std::vector<TaskName>& names, RunnerLossCause cause,
-                    const std::vector<TaskName>& held = {});
+                    const std::vector<TaskName>& end_later = {});
   /// True if the runner stopped answering at the same time as others, and no
   /// start explains it.
   bool IsCorrelatedLoss(const Runner& runner) const;
@@ -339,8 +340,8 @@
   /// Handles the end of a run that is no longer tracked.
   void HandleLateEnd(Context& ctx, const Runner& runner,
                      const ReportedEnd& end);
-  void HandleRunningRun(Context& ctx, Runner* runner,
-                        const ReportedRun& listed);
+  void HandleReportedRun(Context& ctx, Runner* runner,
+                         const ReportedRun& reported_run);
   /// Resources that an orphaned run takes, as far as they are known.
   Resources NeedOfOrphan(const Runner& runner, const TaskName& name);
   /// True if the runner itself rejects starts that exceed its capacity.
@@ -361,10 +362,10 @@
   /// Moves a run off a runner that became slow, if that saves time.
   void MoveOffSlowRunner(Context& ctx, Runner* runner, const TaskName& name,
                          const Run& run, Duration remaining, Duration expected);
-  void HandleUnlistedRuns(Context& ctx, Runner* runner,
-                          const RunnerPolled& answer);
+  void HandleUnreportedRuns(Context& ctx, Runner* runner,
+                            const RunnerPolled& answer);
   /// Ends a run that its runner reports neither as running nor as ended.
-  void EndUnlistedRun(Context& ctx, Runner* runner, const TaskName& name);
+  void EndUnreportedRun(Context& ctx, Runner* runner, const TaskName& name);
   /// Updates the health of a runner after the end of a run.
   void UpdateRunnerHealth(Context& ctx, Runner* runner, const ReportedEnd& end,
                           const Run& run);
@@ -393,7 +394,7 @@
   SchedulerOptions options_;
   const StoreTimeout* store_timeout_;
   StateWriter writer_;
-  JobRegistry registry_;
+  JobRegistry jobs_;
   JobCleaner cleaner_;
   Fleet fleet_;
   LossTracker losses_;
--- a/src/dispatch/scheduler_dump.cc
+++ b/src/dispatch/scheduler_dump.cc
@@ -67,10 +67,10 @@
   Json::Value json;
   json["epoch"] = Json::Int64(writer_.epoch().value());
   json["confirmed_ms_ago"] = Json::Int64((now - writer_.confirmed_at()).ms());
-  json["jobs_read"] = registry_.loaded();
+  json["jobs_read"] = jobs_.loaded();
   json["jobs"] = Json::Value(Json::objectValue);
-  for (const JobId& id : registry_.active()) {
-    json["jobs"][id.value()] = DumpJob(*registry_.Find(id));
+  for (const JobId& id : jobs_.active()) {
+    json["jobs"][id.value()] = DumpJob(*jobs_.Find(id));
   }
   json["runners"] = Json::Value(Json::objectValue);
   for (const auto& [id, runner] : fleet_.runners()) {
--- a/src/dispatch/scheduler_incarnations.cc
+++ b/src/dispatch/scheduler_incarnations.cc
@@ -23,9 +23,9 @@
 
 namespace {
 
-bool Lists(const RunnerPolled& answer, const TaskName& name, int number) {
-  const auto matches = [&](const auto& listed) {
-    return listed.task == name && listed.run == number;
+bool Reports(const RunnerPolled& answer, const TaskName& name, int number) {
+  const auto matches = [&](const auto& reported) {
+    return reported.task == name && reported.run == number;
   };
   return std::any_of(answer.running.begin(), answer.running.end(), matches) ||
          std::any_of(answer.ended.begin(), answer.ended.end(), matches);
@@ -39,8 +39,8 @@
                                                    const Run& run,
                                                    const RunnerPolled& answer) {
   if (NeverBegan(run.phase)) return CarriedRunStatus::kNeverStarted;
-  if (Lists(answer, name, run.number)) return CarriedRunStatus::kMayExist;
-  // `HandleUnlistedRuns` compares the run with the incarnation it was stored
+  if (Reports(answer, name, run.number)) return CarriedRunStatus::kMayExist;
+  // `HandleUnreportedRuns` compares the run with the incarnation it was stored
   // for.
   if (run.phase == RunPhase::kInherited) return CarriedRunStatus::kMayExist;
   // A start without an answer may have crashed the previous incarnation.
@@ -160,7 +160,7 @@
   run.progressed_at = ctx.now();
   run.pace_measured_from = TimePoint();
   next->Add(name, run);
-  Job* job = registry_.Find(name.job);
+  Job* job = jobs_.Find(name.job);
   // The stored row of a run from an even earlier incarnation keeps naming that
   // one, until the run is resolved.
   if (job == nullptr || IsOfEarlierIncarnation(*next, run)) return;
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -68,8 +68,8 @@
 
 }  // namespace
 
-const char* ToString(RunnerLossCause end) {
-  switch (end) {
+const char* ToString(RunnerLossCause cause) {
+  switch (cause) {
     case RunnerLossCause::kCrashed:
       return "crashed";
     case RunnerLossCause::kLeft:
@@ -83,7 +83,7 @@
 void Scheduler::MarkRunsLost(Context& ctx, Runner* runner,
                              const std::vector<TaskName>& names,
                              RunnerLossCause cause,
-                             const std::vector<TaskName>& held) {
+                             const std::vector<TaskName>& end_later) {
   RunnerLoss loss;
   loss.cause = cause;
   loss.silent_since = runner->silent_since().value_or(ctx.now());
@@ -96,7 +96,8 @@
   for (const TaskName& name : names) {
     RecordLostRun(ctx, *runner, name, loss);
     runner->presumed_over.insert({name, runner->runs().at(name).number});
-    if (std::find(held.begin(), held.end(), name) != held.end()) continue;
+    if (std::find(end_later.begin(), end_later.end(), name) != end_later.end())
+      continue;
     EndRun(ctx, runner, name, RunEnd::kLeaseExpired, "");
     StopGang(ctx, name);
   }
@@ -122,7 +123,7 @@
 void Scheduler::CountLoss(Context& ctx, const Runner& runner,
                           const TaskName& name, const Run& run,
                           const RunnerLoss& loss) {
-  Job* job = registry_.Find(name.job);
+  Job* job = jobs_.Find(name.job);
   if (job == nullptr || loss.cause == RunnerLossCause::kLeft) return;
   // A run that never began can not have crashed its runner, and a start that
   // may arrive late counts only once.
@@ -168,7 +169,7 @@
 void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& incarnation,
                               IncarnationFate fate) {
   for (const TaskName& name : losses_.Resolve(incarnation)) {
-    Job* job = registry_.Find(name.job);
+    Job* job = jobs_.Find(name.job);
     if (job == nullptr || !job->ResolveLosses(name, incarnation, fate))
       continue;
     ctx.Log(LogId::kLossSettled, {{"task", ToString(name)},
@@ -200,7 +201,7 @@
 }
 
 void Scheduler::ApplyLossPolicy(Context& ctx, const TaskName& name) {
-  Job* job = registry_.Find(name.job);
+  Job* job = jobs_.Find(name.job);
   if (job == nullptr) return;
   Task* task = job->Find(name);
   const LossVerdict verdict =
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -73,7 +73,7 @@
 }
 
 void Scheduler::SendOrders(Context& ctx) {
-  // A dropped start may stop the members of its gang, also on other runners.
+  // Dropping a start may stop other members of its gang, also on other runners.
   while (!orders_due_.empty()) {
     const std::set<RunnerId> due = std::move(orders_due_);
     orders_due_.clear();
@@ -100,7 +100,7 @@
 }
 
 bool Scheduler::DropStaleStarts(Context& ctx, Runner* runner) {
-  bool given_up = false;
+  bool any_dropped = false;
   const auto waiting = std::move(runner->waiting_starts);
   runner->waiting_starts.clear();
   for (const auto& [name, number] : waiting) {
@@ -112,17 +112,17 @@
       runner->waiting_starts.emplace_back(name, number);
       continue;
     }
-    given_up = true;
+    any_dropped = true;
     DropStart(ctx, runner, name, *reason);
   }
-  return given_up;
+  return any_dropped;
 }
 
 std::optional<StartDropReason> Scheduler::FindDropReason(TimePoint now,
                                                          const Runner& runner,
                                                          const TaskName& name,
                                                          const Run& run) {
-  const Job* job = registry_.Find(name.job);
+  const Job* job = jobs_.Find(name.job);
   if (job == nullptr) return StartDropReason::kJobFinished;
   const Task& task =
       job->occurrences()[name.occurrence].steps[name.step].tasks[name.index];
@@ -147,9 +147,9 @@
   if (!EnforcesCapacity(runner) && !fleet_.KnowsCapacities(now)) {
     return StartDropReason::kCapacityUnconfirmed;
   }
-  const bool ticket_ran_out = PolicyOf(*job, *catalog_).needs_advice &&
+  const bool ticket_expired = PolicyOf(*job, *catalog_).needs_advice &&
                               TicketOf(now, runner, name).empty();
-  if (ticket_ran_out) return StartDropReason::kTicketExpired;
+  if (ticket_expired) return StartDropReason::kTicketExpired;
   return std::nullopt;
 }
 
@@ -185,7 +185,7 @@
 
 void Scheduler::SendStart(Context& ctx, Runner* runner, const TaskName& name,
                           Run* run) {
-  const Job* job = registry_.Find(name.job);
+  const Job* job = jobs_.Find(name.job);
   run->phase = RunPhase::kStarting;
   run->sent_at = ctx.now();
   runner->order_in_flight = true;
@@ -224,9 +224,9 @@
   orders_due_.insert(runner->id());
   // A start that was not sent is dropped. A run whose start is in flight is
   // stopped as soon as the start is answered.
-  const bool too_early =
+  const bool not_running =
       WasNeverSent(run.phase) || run.phase == RunPhase::kStarting;
-  if (too_early || runner->info().address.empty()) return;
+  if (not_running || runner->info().address.empty()) return;
   run.stop.Request(ctx.now(), options_.stop_retry_interval);
 }
 
@@ -243,7 +243,7 @@
 }
 
 void Scheduler::StopGang(Context& ctx, const TaskName& name) {
-  Job* job = registry_.Find(name.job);
+  Job* job = jobs_.Find(name.job);
   if (job == nullptr || !job->step_spec(name.step).gang) return;
   const Step& step = job->occurrences()[name.occurrence].steps[name.step];
   for (std::size_t i = 0; i < step.tasks.size(); ++i) {
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -125,7 +125,7 @@
                            Run* run) {
   if (run->phase != RunPhase::kRunning || run->stopping) return;
   if (!runner->reachable() || run->percent >= kComplete) return;
-  const Job* job = registry_.Find(name.job);
+  const Job* job = jobs_.Find(name.job);
   if (job == nullptr || job->step_spec(name.step).long_running) return;
   // Each percent of a long run takes longer.
   const Duration one_percent = run->expected / kComplete;
@@ -143,7 +143,7 @@
                               const TaskName& name, const Run& run) {
   if (!runner->draining_since().has_value() || run.stopping) return;
   if (run.phase != RunPhase::kRunning) return;
-  const Job* job = registry_.Find(name.job);
+  const Job* job = jobs_.Find(name.job);
   if (job == nullptr) return;
   const StepSpec& step = job->step_spec(name.step);
   // A run without checkpoints loses its progress either way. Stopped now, it
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -17,7 +17,7 @@
 namespace {
 
 // Maximum number of ends that a runner reports in one answer.
-constexpr std::size_t kMaxListedEnds = 500;
+constexpr std::size_t kMaxReportedEnds = 500;
 
 }  // namespace
 
@@ -163,7 +163,7 @@
                              {"runner", runner->id().value()},
                              {"end", ToString(end)},
                              {"saved", checkpoint.empty() ? "" : "yes"}});
-  Job* job = registry_.Find(name.job);
+  Job* job = jobs_.Find(name.job);
   if (job == nullptr) return;
   // For a lost run, `CountLoss` compares its duration with earlier losses.
   if (end != RunEnd::kLeaseExpired)
@@ -250,14 +250,14 @@
   runner->delivered_acknowledgement =
       std::max(runner->delivered_acknowledgement, runner->poll_acknowledges);
   runner->next_poll_at = ctx.now();
-  const bool all_taken = HandleEnds(ctx, runner, answer.ended) &&
-                         answer.ended.size() < kMaxListedEnds;
+  const bool all_handled = HandleEnds(ctx, runner, answer.ended) &&
+                           answer.ended.size() < kMaxReportedEnds;
   for (const ReportedRun& run : answer.running)
-    HandleRunningRun(ctx, runner, run);
+    HandleReportedRun(ctx, runner, run);
   ForgetOrphans(runner, answer.running);
   // A run that is not reported as running may be among the ends that were not
   // handled.
-  if (all_taken) HandleUnlistedRuns(ctx, runner, answer);
+  if (all_handled) HandleUnreportedRuns(ctx, runner, answer);
   return LeaseStatus::kHeld;
 }
 
@@ -269,7 +269,7 @@
         std::max(runner->newest_expired_end, end.number);
   }
   for (const ReportedEnd& end : ends) {
-    if (!registry_.HasReadPartitionOf(end.task.job)) {
+    if (!jobs_.HasReadPartitionOf(end.task.job)) {
       // The runner answers a poll immediately while it has unacknowledged ends,
       // so the next poll is delayed.
       runner->next_poll_at = ctx.now() + options_.fleet.unstored_end_wait;
@@ -312,11 +312,11 @@
 
 // Here the runner's lease seemed to have expired, and the task continued
 // elsewhere. If the lease did expire on the runner, the platform ignores the
-// end once it is acknowledged. Reported expirations would prove that. Without
-// them, a late call may have renewed the lease, or the runner's clock may have
-// been stopped, so the lease has to expire first. Runs that are active on the
-// runner now must not expire with it, so nothing is deferred while there are
-// any.
+// end once it is acknowledged. An expired run among the later ends proves that.
+// Without one, a late call may have renewed the lease, or the runner's clock
+// may have been stopped, so the lease has to expire first. Runs that are active
+// on the runner now must not expire with it, so nothing is deferred while there
+// are any.
 bool Scheduler::MustDeferAcknowledgement(const Runner& runner,
                                          const ReportedEnd& end,
                                          bool presumed_over) {
@@ -327,7 +327,7 @@
         return run.second.phase != RunPhase::kUnconfirmed;
       });
   if (has_active_runs) return false;
-  Job* job = registry_.Find(end.task.job);
+  Job* job = jobs_.Find(end.task.job);
   const Task* task = job == nullptr ? nullptr : job->Find(end.task);
   if (task == nullptr) return presumed_over;
   // The platform counts a failure that was not counted here once it is
@@ -341,7 +341,7 @@
 // would only duplicate it.
 void Scheduler::HandleLateEnd(Context& ctx, const Runner& runner,
                               const ReportedEnd& end) {
-  Job* job = registry_.Find(end.task.job);
+  Job* job = jobs_.Find(end.task.job);
   if (job == nullptr || end.end != RunEnd::kDone) return;
   const Task* task = job->Find(end.task);
   if (task == nullptr || end.run > task->run) return;
@@ -358,41 +358,42 @@
   plan_due_ = true;
 }
 
-void Scheduler::HandleRunningRun(Context& ctx, Runner* runner,
-                                 const ReportedRun& listed) {
-  Run* run = runner->FindRun(listed.task, listed.run);
-  if (run == nullptr && !registry_.HasReadPartitionOf(listed.task.job)) return;
+void Scheduler::HandleReportedRun(Context& ctx, Runner* runner,
+                                  const ReportedRun& reported_run) {
+  Run* run = runner->FindRun(reported_run.task, reported_run.run);
+  if (run == nullptr && !jobs_.HasReadPartitionOf(reported_run.task.job))
+    return;
   if (run == nullptr) {
     // No task waits for this run. Polls may follow each other hundreds of times
     // a second; sending a stop for each would delay all other orders to the
     // runner.
     runner
-        ->AddOrphan({listed.task, listed.run},
-                    NeedOfOrphan(*runner, listed.task))
+        ->AddOrphan({reported_run.task, reported_run.run},
+                    NeedOfOrphan(*runner, reported_run.task))
         .stop.Request(ctx.now(), options_.stop_retry_interval);
     orders_due_.insert(runner->id());
     return;
   }
-  const bool progressed = listed.percent != run->percent;
+  const bool progressed = reported_run.percent != run->percent;
   if (progressed) run->progressed_at = ctx.now();
-  run->percent = listed.percent;
+  run->percent = reported_run.percent;
   if (run->phase == RunPhase::kInherited ||
       run->phase == RunPhase::kUnconfirmed) {
     run->phase = RunPhase::kRunning;
   }
-  Job* job = registry_.Find(listed.task.job);
+  Job* job = jobs_.Find(reported_run.task.job);
   if (job == nullptr) {
-    RequestStop(ctx, runner, listed.task);
+    RequestStop(ctx, runner, reported_run.task);
     return;
   }
-  if (run->stopping) RequestStop(ctx, runner, listed.task);
-  MeasurePace(ctx, runner, job, listed.task, run);
-  if (listed.checkpoint.empty()) return;
-  job->SaveProgress(listed.task, listed.checkpoint);
+  if (run->stopping) RequestStop(ctx, runner, reported_run.task);
+  MeasurePace(ctx, runner, job, reported_run.task, run);
+  if (reported_run.checkpoint.empty()) return;
+  job->SaveProgress(reported_run.task, reported_run.checkpoint);
 }
 
 Resources Scheduler::NeedOfOrphan(const Runner& runner, const TaskName& name) {
-  const Job* job = registry_.Find(name.job);
+  const Job* job = jobs_.Find(name.job);
   if (job != nullptr && job->HasStep(name.step)) {
     return job->step_spec(name.step).room();
   }
@@ -414,12 +415,12 @@
   runner->RemoveOrphansExcept(reported);
 }
 
-void Scheduler::HandleUnlistedRuns(Context& ctx, Runner* runner,
-                                   const RunnerPolled& answer) {
+void Scheduler::HandleUnreportedRuns(Context& ctx, Runner* runner,
+                                     const RunnerPolled& answer) {
   std::set<TaskName> running;
   for (const ReportedRun& run : answer.running) running.insert(run.task);
   std::vector<TaskName> lost;
-  std::vector<TaskName> unlisted;
+  std::vector<TaskName> unreported;
   std::vector<TaskName> unsure;
   for (const auto& [name, run] : runner->runs()) {
     if (running.count(name) != 0) continue;
@@ -431,21 +432,22 @@
     if (may_still_start) {
       unsure.push_back(name);
     } else {
-      (IsOfEarlierIncarnation(*runner, run) ? lost : unlisted).push_back(name);
+      (IsOfEarlierIncarnation(*runner, run) ? lost : unreported)
+          .push_back(name);
     }
   }
   // These runs were started by a previous scheduler on an earlier incarnation,
   // and were lost with it.
   if (!lost.empty()) MarkRunsLost(ctx, runner, lost, RunnerLossCause::kCrashed);
-  for (const TaskName& name : unlisted) EndUnlistedRun(ctx, runner, name);
+  for (const TaskName& name : unreported) EndUnreportedRun(ctx, runner, name);
   for (const TaskName& name : unsure) {
     RequestStop(ctx, runner, name);
     StopGang(ctx, name);
   }
 }
 
-void Scheduler::EndUnlistedRun(Context& ctx, Runner* runner,
-                               const TaskName& name) {
+void Scheduler::EndUnreportedRun(Context& ctx, Runner* runner,
+                                 const TaskName& name) {
   const auto found = runner->runs().find(name);
   if (found == runner->runs().end()) return;
   ctx.Log(LogId::kRunNotListed,
