--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -170,9 +170,8 @@
 }
 
 void Scheduler::WriteWaitingCounts(Context& ctx) {
-  if (ctx.now() - waiting_counts_written_at_ < options_.waiting_counts_interval)
-    return;
-  waiting_counts_written_at_ = ctx.now();
+  if (ctx.now() - counts_written_at_ < options_.waiting_counts_interval) return;
+  counts_written_at_ = ctx.now();
   std::string row = EncodeWaiting(jobs_.CountWaiting());
   if (row == written_waiting_counts_) return;
   written_waiting_counts_ = row;
--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -101,7 +101,7 @@
   kGangEnded,
   kStopping,
   kReleasing,
-  kRunnerDraining,
+  kRunnerLeaving,
   kHallDraining,
   kRunnerUnreachable,
   kTicketExpired,
@@ -254,10 +254,10 @@
 
   // Lost runs (scheduler_losses.cc).
   /// Records the loss of the runner and of the runs `names`. Those also in
-  /// `end_later` count as lost but are ended later.
+  /// `later` count as lost but are ended later.
   void MarkRunsLost(Context& ctx, Runner* runner,
                     const std::vector<TaskName>& names, RunnerLossCause cause,
-                    const std::vector<TaskName>& end_later = {});
+                    const std::vector<TaskName>& later = {});
   /// True if the runner stopped answering at the same time as others, and no
   /// start explains it.
   bool IsCorrelatedLoss(const Runner& runner) const;
@@ -265,7 +265,7 @@
   void CountLoss(Context& ctx, const Runner& runner, const TaskName& name,
                  const Run& run, const RunnerLoss& loss);
   /// Resolves the open losses of an incarnation whose fate is now known.
-  void ResolveLosses(Context& ctx, const IncarnationId& incarnation,
+  void ResolveLosses(Context& ctx, const IncarnationId& lost,
                      IncarnationFate fate);
   /// Resolves the losses of incarnations whose addresses now belong to others.
   void ResolveReplacedIncarnations(Context& ctx, const RunnersListed& answer);
@@ -340,8 +340,8 @@
   /// Handles the end of a run that is no longer tracked.
   void HandleLateEnd(Context& ctx, const Runner& runner,
                      const ReportedEnd& end);
-  void HandleReportedRun(Context& ctx, Runner* runner,
-                         const ReportedRun& reported_run);
+  void HandleRunning(Context& ctx, Runner* runner,
+                     const ReportedRun& reported_run);
   /// Resources that an orphaned run takes, as far as they are known.
   Resources NeedOfOrphan(const Runner& runner, const TaskName& name);
   /// True if the runner itself rejects starts that exceed its capacity.
@@ -409,7 +409,7 @@
   TimePoint last_pass_at_;
   /// The next planning pass runs no earlier than this.
   TimePoint next_pass_at_;
-  TimePoint waiting_counts_written_at_;
+  TimePoint counts_written_at_;
   TimePoint next_check_at_;
   TimePoint next_idle_accelerators_at_;
   std::string written_waiting_counts_;
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -83,7 +83,7 @@
 void Scheduler::MarkRunsLost(Context& ctx, Runner* runner,
                              const std::vector<TaskName>& names,
                              RunnerLossCause cause,
-                             const std::vector<TaskName>& end_later) {
+                             const std::vector<TaskName>& later) {
   RunnerLoss loss;
   loss.cause = cause;
   loss.silent_since = runner->silent_since().value_or(ctx.now());
@@ -96,8 +96,7 @@
   for (const TaskName& name : names) {
     RecordLostRun(ctx, *runner, name, loss);
     runner->presumed_over.insert({name, runner->runs().at(name).number});
-    if (std::find(end_later.begin(), end_later.end(), name) != end_later.end())
-      continue;
+    if (std::find(later.begin(), later.end(), name) != later.end()) continue;
     EndRun(ctx, runner, name, RunEnd::kLeaseExpired, "");
     StopGang(ctx, name);
   }
@@ -166,15 +165,14 @@
   return CountUnexplained(lost) >= rules.min_unexplained_crashes;
 }
 
-void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& incarnation,
+void Scheduler::ResolveLosses(Context& ctx, const IncarnationId& lost,
                               IncarnationFate fate) {
-  for (const TaskName& name : losses_.Resolve(incarnation)) {
+  for (const TaskName& name : losses_.Resolve(lost)) {
     Job* job = jobs_.Find(name.job);
-    if (job == nullptr || !job->ResolveLosses(name, incarnation, fate))
-      continue;
+    if (job == nullptr || !job->ResolveLosses(name, lost, fate)) continue;
     ctx.Log(LogId::kLossSettled, {{"task", ToString(name)},
-                                  {"runner", incarnation.runner.value()},
-                                  {"born", ToString(incarnation.start_time)},
+                                  {"runner", lost.runner.value()},
+                                  {"born", ToString(lost.start_time)},
                                   {"lives", ToString(fate)}});
     MarkProgressDirty(name.job);
     ApplyLossPolicy(ctx, name);
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -29,7 +29,7 @@
       return "a stop was requested";
     case StartDropReason::kReleasing:
       return "the scheduler is releasing its lease";
-    case StartDropReason::kRunnerDraining:
+    case StartDropReason::kRunnerLeaving:
       return "its runner is shutting down";
     case StartDropReason::kHallDraining:
       return "its runner's hall is being drained";
@@ -137,7 +137,7 @@
   if (HasGangEnded(*job, name, run.number)) return StartDropReason::kGangEnded;
   if (releasing_) return StartDropReason::kReleasing;
   if (runner.draining_since().has_value())
-    return StartDropReason::kRunnerDraining;
+    return StartDropReason::kRunnerLeaving;
   if (catalog_->drained_halls.count(runner.info().hall) != 0) {
     return StartDropReason::kHallDraining;
   }
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -88,10 +88,9 @@
                                   Duration remaining, Duration expected) {
   if (run.stopping || !runner->IsSlow()) return;
   if (run.number > options_.max_moves) return;
-  const double restart_ms =
+  const double min_ms =
       options_.min_move_gain * static_cast<double>(expected.ms());
-  if (remaining < Duration(std::llround(restart_ms)) + options_.move_cost)
-    return;
+  if (remaining < Duration(std::llround(min_ms)) + options_.move_cost) return;
   ctx.Log(LogId::kRunMoved, {{"task", ToString(name)},
                              {"runner", runner->id().value()},
                              {"percent", std::to_string(run.percent)},
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -153,9 +153,9 @@
   const auto found = runner->runs().find(name);
   if (found == runner->runs().end()) return;
   const int number = found->second.number;
-  const Duration ran_for = found->second.phase == RunPhase::kRunning
-                               ? ctx.now() - found->second.started_at
-                               : Duration(0);
+  const Duration ran = found->second.phase == RunPhase::kRunning
+                           ? ctx.now() - found->second.started_at
+                           : Duration(0);
   runner->Remove(name);
   plan_due_ = true;
   ctx.Log(LogId::kRunEnded, {{"task", ToString(name)},
@@ -167,7 +167,7 @@
   if (job == nullptr) return;
   // For a lost run, `CountLoss` compares its duration with earlier losses.
   if (end != RunEnd::kLeaseExpired)
-    job->DropOutlivedLosses(name, ran_for, options_.losses);
+    job->DropOutlivedLosses(name, ran, options_.losses);
   if (!job->EndRun(name, number, end, checkpoint, MaxAttempts(*job))) return;
   UpdateJobState(ctx, job);
   ApplyLossPolicy(ctx, name);
@@ -252,8 +252,7 @@
   runner->next_poll_at = ctx.now();
   const bool all_handled = HandleEnds(ctx, runner, answer.ended) &&
                            answer.ended.size() < kMaxReportedEnds;
-  for (const ReportedRun& run : answer.running)
-    HandleReportedRun(ctx, runner, run);
+  for (const ReportedRun& run : answer.running) HandleRunning(ctx, runner, run);
   ForgetOrphans(runner, answer.running);
   // A run that is not reported as running may be among the ends that were not
   // handled.
@@ -305,8 +304,8 @@
   runner->unstored_ends.insert(end.number);
   writer_.RunWhenStored(key, [this, incarnation = runner->incarnation(),
                               number = end.number](Context&) {
-    Runner* later = fleet_.Find(incarnation);
-    if (later != nullptr) later->unstored_ends.erase(number);
+    Runner* runner_now = fleet_.Find(incarnation);
+    if (runner_now != nullptr) runner_now->unstored_ends.erase(number);
   });
 }
 
@@ -358,8 +357,8 @@
   plan_due_ = true;
 }
 
-void Scheduler::HandleReportedRun(Context& ctx, Runner* runner,
-                                  const ReportedRun& reported_run) {
+void Scheduler::HandleRunning(Context& ctx, Runner* runner,
+                              const ReportedRun& reported_run) {
   Run* run = runner->FindRun(reported_run.task, reported_run.run);
   if (run == nullptr && !jobs_.HasReadPartitionOf(reported_run.task.job))
     return;
--- a/test/order-queue-test.cc
+++ b/test/order-queue-test.cc
@@ -80,8 +80,7 @@
   }
 
   static void CheckNoViolationIn(const EmulatedSystem& other) {
-    for (const std::string& violation : other.violations())
-      FAIL(violation.c_str());
+    for (const std::string& error : other.violations()) FAIL(error.c_str());
   }
 };
 
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -116,8 +116,7 @@
     delayed.Run(Duration(7500));
     delayed.faults().unreachable_runners.clear();
     delayed.Run(Duration(12000));
-    for (const std::string& violation : delayed.violations())
-      FAIL(violation.c_str());
+    for (const std::string& error : delayed.violations()) FAIL(error.c_str());
   }
 }
 
--- a/test/scheduler-fixture.h
+++ b/test/scheduler-fixture.h
@@ -64,8 +64,7 @@
   const JobWatch& Watch(const JobId& job) { return system.jobs().at(job); }
 
   void CheckNoViolation() {
-    for (const std::string& violation : system.violations())
-      FAIL(violation.c_str());
+    for (const std::string& error : system.violations()) FAIL(error.c_str());
   }
 };
 
--- a/test/take-over-test.cc
+++ b/test/take-over-test.cc
@@ -100,8 +100,7 @@
     other.Run(Duration(3000));
     other.faults() = Faults();
     other.Run(Duration(20000));
-    for (const std::string& violation : other.violations())
-      FAIL(violation.c_str());
+    for (const std::string& error : other.violations()) FAIL(error.c_str());
     for (const auto& [id, watch] : other.jobs()) {
       STRCMP_EQUAL("done", other.StateOf(id).c_str());
     }
@@ -150,8 +149,7 @@
     emulated.Run(Duration(100));
     emulated.faults().parts_down.clear();
     emulated.Run(Duration(9000));
-    for (const std::string& violation : emulated.violations())
-      FAIL(violation.c_str());
+    for (const std::string& error : emulated.violations()) FAIL(error.c_str());
   }
 }
 
@@ -160,26 +158,25 @@
 TEST(TakeOver, UnguardedRunnersGetNothingWhileRunsAreNotKnown) {
   SystemOptions options;
   options.enforces_capacity = false;
-  EmulatedSystem unguarded(options);
-  unguarded.Run(Duration(3000));
+  EmulatedSystem other(options);
+  other.Run(Duration(3000));
   const std::string unavailable_partition = dispatch::AllJobPartitions()[0];
-  unguarded.faults().parts_down = {unavailable_partition};
-  unguarded.KillNode(unguarded.leader(), Duration(500));
-  unguarded.Run(Duration(5000));
+  other.faults().parts_down = {unavailable_partition};
+  other.KillNode(other.leader(), Duration(500));
+  other.Run(Duration(5000));
   std::vector<JobId> jobs;
   for (int i = 0; i < 4; ++i) {
     dispatch::JobSpec spec;
     spec.steps = {Step(1, 1, Duration(300))};
     spec.policy.priority = 1;
-    jobs.push_back(unguarded.Submit(spec, {TaskTruth()}));
+    jobs.push_back(other.Submit(spec, {TaskTruth()}));
   }
-  unguarded.Run(Duration(2000));
-  for (const JobId& job : jobs)
-    CHECK_TRUE(unguarded.jobs().at(job).starts.empty());
-  unguarded.faults().parts_down.clear();
-  unguarded.Run(Duration(5000));
+  other.Run(Duration(2000));
+  for (const JobId& job : jobs) CHECK_TRUE(other.jobs().at(job).starts.empty());
+  other.faults().parts_down.clear();
+  other.Run(Duration(5000));
   for (const JobId& job : jobs) {
-    STRCMP_EQUAL("done", unguarded.StateOf(job).c_str());
+    STRCMP_EQUAL("done", other.StateOf(job).c_str());
   }
 }
 
