--- a/src/dispatch/scheduler.cc
+++ b/src/dispatch/scheduler.cc
@@ -43,7 +43,7 @@
       jobs_(store_timeout, options.job_registry),
       cleaner_(options.cleaner),
       fleet_(options.fleet),
-      losses_(options.losses),
+      losses_(options.loss),
       planner_(options.planner) {}
 
 bool Scheduler::Owns(Ticket ticket) const {
--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -89,7 +89,7 @@
   loss.silent_since = runner->silent_since().value_or(ctx.now());
   if (cause != RunnerLossCause::kLeft && !runner->ended) {
     losses_.AddLostRunner(
-        DescribeLostRunner(*runner, loss.silent_since, options_.losses));
+        DescribeLostRunner(*runner, loss.silent_since, options_.loss));
   }
   // Computed once for all runs, since it iterates over all runners.
   if (!names.empty()) loss.correlated = IsCorrelatedLoss(*runner);
@@ -129,7 +129,7 @@
   if (NeverBegan(run.phase) || run.counted_as_lost) return;
   const std::optional<Duration> lasted =
       TimeUntilSilence(run, loss.silent_since);
-  const bool soon = lasted.has_value() && *lasted <= options_.losses.soon;
+  const bool soon = lasted.has_value() && *lasted <= options_.loss.soon;
   RunLoss lost;
   lost.run = run.number;
   lost.incarnation = IncarnationOf(runner, run);
@@ -140,7 +140,7 @@
   // with their runners are no reason to fail a task.
   const bool began = run.phase == RunPhase::kRunning;
   lost.suspicious = began && soon && !loss.correlated;
-  job->DropOutlivedLosses(name, lost.lasted, options_.losses);
+  job->DropOutlivedLosses(name, lost.lasted, options_.loss);
   if (!job->RecordLoss(name, lost)) return;
   if (lost.crashed) return;
   losses_.AddUnresolved(name, lost, ListedStartTime(lost.incarnation),
@@ -149,7 +149,7 @@
 
 bool Scheduler::IsCorrelatedLoss(const Runner& runner) const {
   if (!runner.silent_since().has_value()) return false;
-  const LossRules& rules = options_.losses;
+  const LossRules& rules = options_.loss;
   const TimePoint silent_since = *runner.silent_since();
   std::vector<LostRunner> lost = losses_.LostNear(silent_since);
   std::set<IncarnationId> known;
@@ -203,7 +203,7 @@
   if (job == nullptr) return;
   Task* task = job->Find(name);
   const LossVerdict verdict =
-      EvaluateLosses(task->losses, task->run, options_.losses);
+      EvaluateLosses(task->losses, task->run, options_.loss);
   task->held_back = verdict == LossVerdict::kMustWait;
   if (verdict != LossVerdict::kGivenUp || !job->FailWaitingTask(name)) return;
   ctx.Log(LogId::kTaskGivenUp, {{"job", name.job.value()},
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -127,7 +127,7 @@
   const Task& task =
       job->occurrences()[name.occurrence].steps[name.step].tasks[name.index];
   // The run itself does not count as a failed start.
-  if (EvaluateLosses(task.losses, run.number - 1, options_.losses) !=
+  if (EvaluateLosses(task.losses, run.number - 1, options_.loss) !=
       LossVerdict::kMayStart) {
     return StartDropReason::kTaskCrashesRunners;
   }
