--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -36,7 +36,7 @@
   return lost;
 }
 
-/// Whether the incarnation lives, for logs.
+/// Whether the incarnation is alive, for logs.
 const char* ToString(IncarnationFate fate) {
   switch (fate) {
     case IncarnationFate::kAlive:
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -420,7 +420,7 @@
   for (const ReportedRun& run : answer.running) running.insert(run.task);
   std::vector<TaskName> lost;
   std::vector<TaskName> unreported;
-  std::vector<TaskName> unsure;
+  std::vector<TaskName> unconfirmed;
   for (const auto& [name, run] : runner->runs()) {
     if (running.count(name) != 0) continue;
     // The poll may have been sent before the order was carried out.
@@ -429,7 +429,7 @@
     const bool may_still_start =
         run.phase == RunPhase::kUnconfirmed && !run.stop_answered;
     if (may_still_start) {
-      unsure.push_back(name);
+      unconfirmed.push_back(name);
     } else {
       (IsOfEarlierIncarnation(*runner, run) ? lost : unreported)
           .push_back(name);
@@ -439,7 +439,7 @@
   // and were lost with it.
   if (!lost.empty()) MarkRunsLost(ctx, runner, lost, RunnerLossCause::kCrashed);
   for (const TaskName& name : unreported) EndUnreportedRun(ctx, runner, name);
-  for (const TaskName& name : unsure) {
+  for (const TaskName& name : unconfirmed) {
     RequestStop(ctx, runner, name);
     StopGang(ctx, name);
   }
--- a/test/order-queue-test.cc
+++ b/test/order-queue-test.cc
@@ -104,7 +104,7 @@
   }
 }
 
-TEST(OrderQueue, StartsThatWaitForASilentRunnerArePlacedElsewhereAtOnce) {
+TEST(OrderQueue, QueuedStartsOfASilentRunnerArePlacedElsewhere) {
   EmulatedSystem pair(WithRunners(2));
   StartScheduling(&pair);
   const std::string silent_runner = pair.RunnerIds().front().value();
@@ -123,7 +123,7 @@
 // One member's start was queued behind other starts while the other member
 // ended without its gang. The queued start was then sent for a gang run that
 // had already ended.
-TEST(OrderQueue, MemberIsNotStartedOnceItsGangIsOver) {
+TEST(OrderQueue, GangMemberIsNotStartedAfterItsGangEnded) {
   EmulatedSystem pair(WithRunners(2));
   StartScheduling(&pair);
   pair.faults().order_time = Duration(600);
@@ -153,7 +153,7 @@
   CheckNoViolation();
 }
 
-TEST(OrderQueue, StopsGoBeforeStarts) {
+TEST(OrderQueue, StopsAreSentBeforeStarts) {
   EmulatedSystem single(WithRunners(1));
   StartScheduling(&single);
   const JobId first = SubmitTo(&single, Step(2, 0, kLongWork));
@@ -171,7 +171,7 @@
   CheckNoViolationIn(single);
 }
 
-TEST(OrderQueue, StartWhoseTicketRanOutWhileItWaitedIsNotSent) {
+TEST(OrderQueue, QueuedStartIsNotSentAfterItsTicketExpired) {
   EmulatedSystem single(WithRunners(1));
   StartScheduling(&single);
   single.faults().order_time = Duration(600);
@@ -199,7 +199,7 @@
   CheckNoViolationIn(single);
 }
 
-TEST(OrderQueue, StartOfACancelledJobThatWaitsIsNeverSent) {
+TEST(OrderQueue, QueuedStartOfACancelledJobIsNotSent) {
   EmulatedSystem single(WithRunners(1));
   StartScheduling(&single);
   single.faults().order_time = Duration(200);
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -38,7 +38,7 @@
 
 // While the jobs were read again, runners used not to be polled. Their leases
 // expired if the store became unavailable at that time.
-TEST(Outage, BookThatReadsItsJobsAgainStaysLoaded) {
+TEST(Outage, RegistryStaysLoadedWhileJobsAreReadAgain) {
   const dispatch::StoreTimeout store_timeout;
   dispatch::JobRegistry registry(&store_timeout);
   dispatch::Ticket tickets;
@@ -97,26 +97,26 @@
     SystemOptions options;
     options.seed = seed;
     options.bounds.lease_from_arrival = Duration(5000);
-    EmulatedSystem delayed(options);
-    delayed.Run(Duration(3000));
+    EmulatedSystem emulated(options);
+    emulated.Run(Duration(3000));
     dispatch::JobSpec spec;
     spec.steps = {Step(6, 1, Duration(20000))};
     spec.policy.priority = 1;
     TaskTruth truth;
     truth.work = Duration(20000);
-    delayed.Submit(spec, {truth});
-    delayed.faults().orders_lost = 1;
-    delayed.faults().late_order = Duration(12000);
-    delayed.Run(Duration(300));
+    emulated.Submit(spec, {truth});
+    emulated.faults().orders_lost = 1;
+    emulated.faults().late_order = Duration(12000);
+    emulated.Run(Duration(300));
     // The starts are in flight; now their runners become unreachable.
-    for (const RunnerId& id : delayed.RunnerIds()) {
-      if (id.value() >= "i-4") delayed.faults().unreachable_runners.insert(id);
+    for (const RunnerId& id : emulated.RunnerIds()) {
+      if (id.value() >= "i-4") emulated.faults().unreachable_runners.insert(id);
     }
-    delayed.faults().orders_lost = 0;
-    delayed.Run(Duration(7500));
-    delayed.faults().unreachable_runners.clear();
-    delayed.Run(Duration(12000));
-    for (const std::string& error : delayed.violations()) FAIL(error.c_str());
+    emulated.faults().orders_lost = 0;
+    emulated.Run(Duration(7500));
+    emulated.faults().unreachable_runners.clear();
+    emulated.Run(Duration(12000));
+    for (const std::string& error : emulated.violations()) FAIL(error.c_str());
   }
 }
 
@@ -140,7 +140,7 @@
 }
 
 // New jobs are started while a partition is unavailable.
-TEST(Outage, JobsOfOtherPartsStartWhileAPartOfTheStoreIsAway) {
+TEST(Outage, JobsOfOtherPartitionsStartWhileOneIsUnavailable) {
   system.faults().parts_down = {dispatch::AllJobPartitions()[0]};
   system.KillNode(system.leader(), Duration(500));
   system.Run(Duration(5000));
@@ -198,7 +198,7 @@
 
 // A scheduler that could not store the end of a job used to remove the job
 // after its own retention time. The next scheduler then had no record of it.
-TEST(Outage, JobWhoseEndIsNotStoredIsNeverClearedAway) {
+TEST(Outage, JobWhoseEndIsNotStoredIsNotRemoved) {
   const JobId job = Submit(Step(2, 1, Duration(1500)));
   system.Run(Duration(700));
   // Only the partition with the scheduler's own rows is unavailable.
@@ -212,7 +212,7 @@
 }
 
 // Leases used to be renewed only on runners with runs of known jobs.
-TEST(Outage, RunsOfAPartThatIsAwayKeepTheirLeases) {
+TEST(Outage, RunsOfAnUnavailablePartitionKeepTheirLeases) {
   const JobId job = Submit(Step(1, 8, Duration(12000)));
   system.Run(Duration(1000));
   system.faults().parts_down = {dispatch::JobPartition(job.value())};
@@ -228,7 +228,7 @@
 // While the stop of a run with unknown outcome was in flight, polls of its
 // runner used to follow each other without delay, 500 per second of virtual
 // time, although only the stop could resolve the run.
-TEST(Outage, RunnerThatLeavesOrdersUnansweredIsNotLookedAtAllTheTime) {
+TEST(Outage, RunnerThatDoesNotAnswerOrdersIsNotPolledContinuously) {
   SystemOptions options;
   options.runners = 1;
   EmulatedSystem single(options);
@@ -238,8 +238,8 @@
   SubmitTo(&single, Step(1, 0, Duration(60000)));
   const int before = single.polls();
   single.Run(Duration(5000));
-  constexpr int kMostPolls = 100;
-  CHECK_TRUE(single.polls() - before <= kMostPolls);
+  constexpr int kMaxPolls = 100;
+  CHECK_TRUE(single.polls() - before <= kMaxPolls);
 }
 
 }  // namespace limeledge::emulator
--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -73,7 +73,7 @@
   }
 }
 
-TEST(Scheduler, JobThatCanNotBeDoneFailsAfterItsAttempts) {
+TEST(Scheduler, JobThatAlwaysFailsEndsAfterItsAttempts) {
   dispatch::JobSpec spec;
   spec.steps = {Step(1, 1, Duration(300))};
   spec.policy.priority = 1;
@@ -87,7 +87,7 @@
   CheckNoViolation();
 }
 
-TEST(Scheduler, CountOfWaitingJobsIsTold) {
+TEST(Scheduler, CountOfWaitingJobsIsPublished) {
   Submit(Step(64, 1, Duration(30000)));
   system.Run(Duration(2500));
   Submit(Step(2, 8, Duration(1000)));
@@ -120,7 +120,7 @@
 
 // Each job used to be removed in a transaction of its own. While the store
 // rejected them, all were sent again at the same time, ten times a second.
-TEST(Scheduler, FinalJobsAreClearedInFewCalls) {
+TEST(Scheduler, FinalJobsAreRemovedInFewCalls) {
   constexpr int kJobs = 40;
   for (int i = 0; i < kJobs; ++i) Submit(Step(1, 0, Duration(100)));
   system.Run(Duration(20000));
--- a/test/take-over-test.cc
+++ b/test/take-over-test.cc
@@ -48,7 +48,7 @@
 // A gang of urgent work used to wait 12 s for a runner that had left. The new
 // scheduler had polled the runner successfully, but still assumed the 15.8 s
 // that a lease may last on a runner that never answered.
-TEST(TakeOver, RunsOfARunnerThatGoesOnceHeardStartAgainSooner) {
+TEST(TakeOver, RunsRestartSoonerIfTheirLostRunnerHadAnswered) {
   const JobId job = Submit(Step(1, 8, Duration(9000)));
   system.Run(Duration(1000));
   system.KillNode(system.leader(), Duration(60000));
@@ -87,7 +87,7 @@
 // A scheduler used to continue after a pause of its process as if no time had
 // passed. It sent queued orders and granted leases before it learned that
 // another node had become the scheduler.
-TEST(TakeOver, SchedulerThatStoodStillActsOnNothingBeforeItsRightIsConfirmed) {
+TEST(TakeOver, PausedSchedulerDoesNothingBeforeItsLeaseIsConfirmed) {
   for (const int pause_ms : {1600, 2500, 4000, 7000}) {
     EmulatedSystem other{SystemOptions()};
     other.Run(Duration(3000));
@@ -130,7 +130,7 @@
 // A runner answered and was then cut off, and a run on it was read from the
 // store only afterwards. The lease from the previous scheduler was wrongly
 // taken for expired.
-TEST(TakeOver, RunThatIsLearntLateIsNotStartedElsewhereBesideItself) {
+TEST(TakeOver, RunThatIsReadLateIsNotStartedTwice) {
   for (int cut_off_at = 2000; cut_off_at < 3600; cut_off_at += 100) {
     EmulatedSystem emulated{SystemOptions()};
     emulated.Run(Duration(3000));
@@ -155,7 +155,7 @@
 
 // A runner that does not enforce its capacity would be overcommitted if it got
 // new runs before all of its current runs are known.
-TEST(TakeOver, UnguardedRunnersGetNothingWhileRunsAreNotKnown) {
+TEST(TakeOver, RunnersWithoutCapacityChecksGetNoRunsUntilAllAreKnown) {
   SystemOptions options;
   options.enforces_capacity = false;
   EmulatedSystem other(options);
