--- a/src/dispatch/scheduler.h
+++ b/src/dispatch/scheduler.h
@@ -101,7 +101,7 @@
   kGangEnded,
   kStopping,
   kReleasing,
-  kRunnerLeaving,
+  kDraining,
   kHallDraining,
   kRunnerUnreachable,
   kTicketExpired,
@@ -340,8 +340,7 @@
   /// Handles the end of a run that is no longer tracked.
   void HandleLateEnd(Context& ctx, const Runner& runner,
                      const ReportedEnd& end);
-  void HandleRunning(Context& ctx, Runner* runner,
-                     const ReportedRun& reported_run);
+  void HandleRunning(Context& ctx, Runner* runner, const ReportedRun& reported);
   /// Resources that an orphaned run takes, as far as they are known.
   Resources NeedOfOrphan(const Runner& runner, const TaskName& name);
   /// True if the runner itself rejects starts that exceed its capacity.
--- a/src/dispatch/scheduler_orders.cc
+++ b/src/dispatch/scheduler_orders.cc
@@ -29,7 +29,7 @@
       return "a stop was requested";
     case StartDropReason::kReleasing:
       return "the scheduler is releasing its lease";
-    case StartDropReason::kRunnerLeaving:
+    case StartDropReason::kDraining:
       return "its runner is shutting down";
     case StartDropReason::kHallDraining:
       return "its runner's hall is being drained";
@@ -136,8 +136,7 @@
   // to fail.
   if (HasGangEnded(*job, name, run.number)) return StartDropReason::kGangEnded;
   if (releasing_) return StartDropReason::kReleasing;
-  if (runner.draining_since().has_value())
-    return StartDropReason::kRunnerLeaving;
+  if (runner.draining_since().has_value()) return StartDropReason::kDraining;
   if (catalog_->drained_halls.count(runner.info().hall) != 0) {
     return StartDropReason::kHallDraining;
   }
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -358,37 +358,36 @@
 }
 
 void Scheduler::HandleRunning(Context& ctx, Runner* runner,
-                              const ReportedRun& reported_run) {
-  Run* run = runner->FindRun(reported_run.task, reported_run.run);
-  if (run == nullptr && !jobs_.HasReadPartitionOf(reported_run.task.job))
-    return;
+                              const ReportedRun& reported) {
+  Run* run = runner->FindRun(reported.task, reported.run);
+  if (run == nullptr && !jobs_.HasReadPartitionOf(reported.task.job)) return;
   if (run == nullptr) {
     // No task waits for this run. Polls may follow each other hundreds of times
     // a second; sending a stop for each would delay all other orders to the
     // runner.
     runner
-        ->AddOrphan({reported_run.task, reported_run.run},
-                    NeedOfOrphan(*runner, reported_run.task))
+        ->AddOrphan({reported.task, reported.run},
+                    NeedOfOrphan(*runner, reported.task))
         .stop.Request(ctx.now(), options_.stop_retry_interval);
     orders_due_.insert(runner->id());
     return;
   }
-  const bool progressed = reported_run.percent != run->percent;
+  const bool progressed = reported.percent != run->percent;
   if (progressed) run->progressed_at = ctx.now();
-  run->percent = reported_run.percent;
+  run->percent = reported.percent;
   if (run->phase == RunPhase::kInherited ||
       run->phase == RunPhase::kUnconfirmed) {
     run->phase = RunPhase::kRunning;
   }
-  Job* job = jobs_.Find(reported_run.task.job);
+  Job* job = jobs_.Find(reported.task.job);
   if (job == nullptr) {
-    RequestStop(ctx, runner, reported_run.task);
+    RequestStop(ctx, runner, reported.task);
     return;
   }
-  if (run->stopping) RequestStop(ctx, runner, reported_run.task);
-  MeasurePace(ctx, runner, job, reported_run.task, run);
-  if (reported_run.checkpoint.empty()) return;
-  job->SaveProgress(reported_run.task, reported_run.checkpoint);
+  if (run->stopping) RequestStop(ctx, runner, reported.task);
+  MeasurePace(ctx, runner, job, reported.task, run);
+  if (reported.checkpoint.empty()) return;
+  job->SaveProgress(reported.task, reported.checkpoint);
 }
 
 Resources Scheduler::NeedOfOrphan(const Runner& runner, const TaskName& name) {
