--- a/soak/soak_platform.h
+++ b/soak/soak_platform.h
@@ -152,7 +152,7 @@
   const FaultLog* faults_;
   Endpoint store_endpoint_;
   standin::StoreServer store_;
-  standin::RunnerShed shed_;
+  standin::SharedRunnerState shed_;
   emulator::PromiseOracle oracle_;
   /// Under the shed's lock, as the oracle.
   CancelWatch cancels_;
