--- a/src/net/http_loop.cc
+++ b/src/net/http_loop.cc
@@ -310,7 +310,7 @@
 
   /// Makes room for one more connection; false if all are in use.
   bool MakePlace() {
-    if (open_ < options_.most_connections) return true;
+    if (open_ < options_.max_connections) return true;
     auto oldest = kept_.end();
     for (auto it = kept_.begin(); it != kept_.end(); ++it) {
       if (it->second.empty()) continue;
--- a/src/net/http_loop.h
+++ b/src/net/http_loop.h
@@ -23,7 +23,7 @@
   Duration idle{10000};
   /// Connections that are open at once; those that rest make way for new ones.
   /// A call that finds no place is not sent.
-  std::size_t most_connections = 3000;
+  std::size_t max_connections = 3000;
 };
 
 /// Carries out HTTP calls on one thread, however many are under way: a thread
