--- a/src/dispatch/row_codec.cc
+++ b/src/dispatch/row_codec.cc
@@ -1,5 +1,5 @@
 /// @file
-/// JSON of the dispatcher's rows.
+/// JSON encoding of the dispatcher's rows.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,12 +16,12 @@
 
 namespace {
 
-constexpr JobState kStates[] = {JobState::kQueued, JobState::kRunning,
-                                JobState::kDone, JobState::kFailed,
-                                JobState::kCancelled};
+constexpr JobState kJobStates[] = {JobState::kQueued, JobState::kRunning,
+                                   JobState::kDone, JobState::kFailed,
+                                   JobState::kCancelled};
 
-/// Parses an object. jsoncpp throws on a value of another type, which
-/// `Decode` turns into a status.
+/// Parses a JSON object. Reading a value as the wrong type throws in jsoncpp;
+/// `Decode` turns that into a status.
 absl::StatusOr<Json::Value> ParseObject(const std::string& text) {
   absl::StatusOr<Json::Value> json = ParseJson(text);
   if (!json.ok()) return json.status();
@@ -112,13 +112,14 @@
   return step;
 }
 
-/// The birth at the end of a list; not told where the list ends before it, as
-/// in rows of versions that did not tell lives apart.
-StartTime BirthAt(const Json::Value& json, Json::ArrayIndex index) {
+/// Returns the start time at `index` of a list, or an unknown start time if the
+/// list is shorter: rows of versions that did not distinguish incarnations lack
+/// it.
+StartTime StartTimeAt(const Json::Value& json, Json::ArrayIndex index) {
   return json.size() > index ? StartTime(json[index].asInt64()) : StartTime();
 }
 
-/// A lost run, as a list.
+/// Encodes a lost run as a list.
 Json::Value EncodeLoss(const RunLoss& loss) {
   Json::Value json(Json::arrayValue);
   json.append(loss.run);
@@ -141,12 +142,13 @@
   loss.lasted = Duration(json[3].asInt64());
   loss.crashed = json[4].asBool();
   loss.suspicious = json[5].asBool();
-  constexpr Json::ArrayIndex kBorn = 6;
-  loss.incarnation.start_time = BirthAt(json, kBorn);
+  constexpr Json::ArrayIndex kStartTime = 6;
+  loss.incarnation.start_time = StartTimeAt(json, kStartTime);
   return loss;
 }
 
-/// A task that has begun, as a list: a job may have thousands of them.
+/// Encodes a started task as a list, which is compact: a job may have thousands
+/// of tasks.
 Json::Value EncodeTask(const Task& task, int index) {
   Json::Value json(Json::arrayValue);
   json.append(index);
@@ -155,12 +157,13 @@
   json.append(task.failures);
   json.append(task.incarnation.runner.value());
   json.append(task.checkpoint);
-  const bool start_time = IsReported(task.incarnation.start_time);
-  if (task.losses.empty() && !start_time) return json;
+  const bool has_start_time = IsReported(task.incarnation.start_time);
+  if (task.losses.empty() && !has_start_time) return json;
   Json::Value losses(Json::arrayValue);
   for (const RunLoss& loss : task.losses) losses.append(EncodeLoss(loss));
   json.append(std::move(losses));
-  if (start_time) json.append(Json::Int64(task.incarnation.start_time.value()));
+  if (has_start_time)
+    json.append(Json::Int64(task.incarnation.start_time.value()));
   return json;
 }
 
@@ -173,11 +176,11 @@
   task.failures = json[3].asInt();
   task.incarnation.runner = RunnerId(json[4].asString());
   task.checkpoint = json[5].asString();
-  // Rows of tasks that lost no run end here, and so do those of versions that
-  // did not count such runs.
+  // The list ends here for tasks without lost runs, and in rows of versions
+  // that did not record losses.
   constexpr Json::ArrayIndex kLosses = 6;
-  constexpr Json::ArrayIndex kBorn = 7;
-  task.incarnation.start_time = BirthAt(json, kBorn);
+  constexpr Json::ArrayIndex kStartTime = 7;
+  task.incarnation.start_time = StartTimeAt(json, kStartTime);
   if (json.size() <= kLosses) return;
   for (const Json::Value& loss : json[kLosses]) {
     task.losses.push_back(DecodeLoss(loss));
@@ -188,8 +191,9 @@
   Json::Value tasks(Json::arrayValue);
   for (std::size_t i = 0; i < step.tasks.size(); ++i) {
     const Task& task = step.tasks[i];
-    const bool untouched = task.run == 0 && task.phase == TaskPhase::kWaiting;
-    if (!untouched) tasks.append(EncodeTask(task, static_cast<int>(i)));
+    const bool never_started =
+        task.run == 0 && task.phase == TaskPhase::kWaiting;
+    if (!never_started) tasks.append(EncodeTask(task, static_cast<int>(i)));
   }
   if (tasks.empty()) return Json::Value();
   Json::Value json;
@@ -203,8 +207,9 @@
 
 JobState StateFrom(const Json::Value& json) {
   const int state = json["state"].asInt();
-  const bool known = state >= 0 && state < static_cast<int>(std::size(kStates));
-  return known ? kStates[state] : JobState::kQueued;
+  const bool known =
+      state >= 0 && state < static_cast<int>(std::size(kJobStates));
+  return known ? kJobStates[state] : JobState::kQueued;
 }
 
 }  // namespace
@@ -291,7 +296,7 @@
   Json::Value json;
   json["state"] = static_cast<int>(job.state());
   if (job.has_begun()) json["begun"] = true;
-  // A final job's tasks matter to nobody.
+  // The tasks of a final job are no longer needed.
   if (IsFinal(job.state())) return WriteJson(json);
   const std::vector<Occurrence>& occurrences = job.occurrences();
   for (std::size_t k = 0; k < occurrences.size(); ++k) {
--- a/src/dispatch/row_codec.h
+++ b/src/dispatch/row_codec.h
@@ -1,5 +1,5 @@
 /// @file
-/// Rows of the dispatcher's tables as JSON.
+/// JSON encoding of the rows in the dispatcher's tables.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,39 +18,40 @@
 
 namespace limeledge::dispatch {
 
-/// The row that names the scheduler. Every write of the scheduler changes it.
+/// The row that holds the scheduler's lease. Every write of the scheduler
+/// updates it.
 struct LeaderRecord {
   Epoch epoch;
   std::string holder;
   /// Number of the write within the epoch.
   std::int64_t sequence = 0;
-  /// The holder has given the lease up.
+  /// True if the holder released the lease.
   bool released = false;
-  /// Processor time that the holder has, in thousandths of a core, and the
-  /// most that any holder had so far.
+  /// CPU capacity of the holder in thousandths of a core, and the largest
+  /// capacity of any holder so far.
   std::int64_t capacity = 0;
   std::int64_t largest_capacity = 0;
 };
 
 std::string EncodeLeader(const LeaderRecord& record);
-/// Fails with `kInvalidArgument`, as do the other decoders.
+/// All decoders fail with `kInvalidArgument` on malformed text.
 absl::StatusOr<LeaderRecord> DecodeLeader(const std::string& text);
 
 std::string EncodeJobSpec(const JobSpec& spec);
 absl::StatusOr<JobSpec> DecodeJobSpec(const std::string& text);
 
-/// What of a job's progress is stored.
+/// Encodes the part of a job's progress that is stored.
 std::string EncodeProgress(const Job& job);
-/// Sets the stored progress on a fresh job. Fails with `kInvalidArgument` when
-/// the text does not fit the job.
+/// Restores stored progress into a newly constructed job. Fails with
+/// `kInvalidArgument` if the text is malformed.
 absl::Status DecodeProgress(const std::string& text, Job* job);
-/// Reads the job's state alone.
+/// Decodes only the job's state.
 absl::StatusOr<JobState> DecodeProgressState(const std::string& text);
 
-/// Where a node answers its peers.
+/// The address at which a node serves its peers.
 struct PeerRecord {
   std::string address;
-  /// When the node last wrote the row.
+  /// Wall-clock time at which the node last wrote the row.
   std::int64_t renewed_wall_ms = 0;
 };
 
--- a/src/dispatch/rows.cc
+++ b/src/dispatch/rows.cc
@@ -1,5 +1,5 @@
 /// @file
-/// How rows are spread over the store's parts.
+/// How job rows are distributed over the store's partitions.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -12,21 +12,24 @@
 
 namespace {
 
-std::string NameOfPart(unsigned number) { return absl::StrCat("j", number); }
+std::string JobPartitionName(unsigned number) {
+  return absl::StrCat("j", number);
+}
 
 }  // namespace
 
 std::string JobPartition(const std::string& job) {
-  // The last digits of an id are as random as any.
-  const unsigned last =
+  // Job ids are random, so that their last characters are evenly distributed.
+  const unsigned last_char =
       job.empty() ? 0 : static_cast<unsigned char>(job.back());
-  return NameOfPart(last % kJobPartitions);
+  return JobPartitionName(last_char % kJobPartitions);
 }
 
 std::vector<std::string> AllJobPartitions() {
-  std::vector<std::string> parts;
-  for (unsigned i = 0; i < kJobPartitions; ++i) parts.push_back(NameOfPart(i));
-  return parts;
+  std::vector<std::string> partitions;
+  for (unsigned i = 0; i < kJobPartitions; ++i)
+    partitions.push_back(JobPartitionName(i));
+  return partitions;
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/rows.h
+++ b/src/dispatch/rows.h
@@ -1,5 +1,5 @@
 /// @file
-/// Rows of the store as the dispatcher uses them.
+/// Rows, transactions and tables of the store as the dispatcher uses them.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
 
 namespace limeledge::dispatch {
 
-/// Names a row.
+/// Identifies a row.
 struct RowKey {
   std::string table;
   std::string key;
@@ -28,13 +28,14 @@
 struct Row {
   RowKey key;
   std::string value;
-  /// Changes with every write of the row; 0 if the row is not there.
+  /// Changes with every write of the row; 0 if the row does not exist.
   Revision revision;
-  /// The row was removed.
+  /// True if the row was removed.
   bool removed = false;
 };
 
-/// The row must have this revision; 0: it must not be there.
+/// A condition of a transaction: the row has this revision, or does not exist
+/// if the revision is 0.
 struct RowCondition {
   RowKey key;
   Revision revision;
@@ -45,50 +46,52 @@
   std::string value;
 };
 
-/// Changes that are made all together or not at all, to rows of one part. The
-/// store carries out the transactions of a part one after the other.
+/// Changes to rows of one partition that are applied atomically. The store
+/// applies the transactions of a partition one at a time.
 struct RowTransaction {
-  /// Empty for the part that holds the scheduler's rows.
+  /// Empty for the partition that holds the scheduler's rows.
   std::string partition;
   std::vector<RowCondition> conditions;
   std::vector<RowWrite> puts;
   std::vector<RowKey> removes;
 };
 
-/// What is known of a call to the store.
+/// The outcome of a call to the store.
 enum class StoreOutcome {
   kDone,
-  /// A condition did not hold; nothing was done.
+  /// A condition did not hold; nothing was changed.
   kConflict,
-  /// Surely not done.
+  /// The call is known not to have been applied.
   kNotApplied,
-  /// No answer: it may have been done, or may be done later if its
-  /// conditions still hold then.
+  /// No response: the call may have been applied, or may still be applied later
+  /// if its conditions hold then.
   kUnknown,
-  /// The changes since the wanted revision are no longer kept.
+  /// The store no longer keeps the changes after the requested revision.
   kHistoryCompacted,
 };
 
-/// Tables of the dispatcher.
+/// Names of the dispatcher's tables.
 inline constexpr char kLeadershipTable[] = "leader";
 inline constexpr char kJobTable[] = "job";
 inline constexpr char kProgressTable[] = "progress";
 inline constexpr char kPeerTable[] = "peer";
-/// Part of the table of peers: its writes do not wait for the scheduler's.
+/// Partition of the peer table, so that its writes do not wait for the
+/// scheduler's.
 inline constexpr char kPeerPartition[] = "peers";
-/// Key of the row that names the scheduler.
+/// Key of the row that holds the scheduler's lease.
 inline constexpr char kLeaderKey[] = "scheduler";
-/// Key of the row with the numbers of waiting jobs.
+/// Key of the row with the number of waiting jobs per queue.
 inline constexpr char kWaitingKey[] = "waiting";
-/// Parts of the table of jobs. Callers' writes to it do not wait for each other
-/// nor for the scheduler's when the store is eighty times as slow as usual: a
-/// part then takes 2.5 of them a second, and callers send up to ten.
+/// Number of partitions of the job table. With eight, callers' writes do not
+/// queue behind each other or behind the scheduler's when the store is eighty
+/// times as slow as usual: a partition then takes 2.5 writes a second, and
+/// callers send up to ten.
 inline constexpr int kJobPartitions = 8;
-/// The part that holds a job's rows. Safe from any thread.
+/// Returns the partition that holds a job's rows. Thread-safe.
 std::string JobPartition(const std::string& job);
-/// All of them. Safe from any thread.
+/// Returns all partitions of the job table. Thread-safe.
 std::vector<std::string> AllJobPartitions();
-/// Behind a job's key: the row that asks for its cancelling.
+/// Appended to a job's key: the row that requests the job's cancellation.
 inline constexpr char kCancelSuffix[] = ".cancel";
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/state_writer.h
+++ b/src/dispatch/state_writer.h
@@ -1,6 +1,7 @@
 /// @file
-/// The scheduler's writes: one conditional transaction at a time, many changes
-/// in each, and actions that wait until their change is stored.
+/// Group commit for the scheduler: collects changed rows, writes them in one
+/// conditional transaction at a time, and runs callbacks once their changes are
+/// stored.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,75 +21,80 @@
 
 namespace limeledge::dispatch {
 
-/// Timing and size of the scheduler's writes.
+/// Timing and size limits of the scheduler's writes.
 struct StateWriterOptions {
-  /// The lease is renewed by a write of its own when nothing else was written
-  /// for this long; a quarter of the lease.
+  /// If nothing was written for this long, a write renews the lease by itself.
+  /// A quarter of the lease.
   Duration renewal{325};
-  /// Pause before a write that was refused is sent again.
+  /// Pause before a write that the store did not apply is sent again.
   Duration retry_pause{150};
-  /// Pause before a write without an answer is sent again on a new connection;
-  /// doubles with each further sending up to `retry_pause`.
+  /// Pause before a write without a response is sent again on a new connection;
+  /// doubles with each attempt up to `retry_pause`.
   Duration resend_pause{10};
-  /// Rows of one transaction, below the store's limit of 100 entries.
+  /// Maximum rows of one transaction, below the store's limit of 100 entries.
   std::size_t max_rows = 96;
-  /// Bytes of one transaction, below the store's limit of 1 MB as base64.
+  /// Maximum bytes of one transaction, below the store's limit of 1 MB as
+  /// base64.
   std::size_t max_bytes = 600000;
 };
 
-/// Writes rows under the condition that this node still leads. Every write
-/// also changes the leader's row, so that a write whose answer was lost can
-/// be told apart from one that never happened, and can not come through after
-/// a newer one.
+/// Writes rows on condition that this node still holds the scheduler's lease.
+/// Every write also updates the leader's row. That tells a write whose response
+/// was lost from one that was never applied, and keeps a delayed write from
+/// being applied after a newer one.
 ///
 /// Thread safety: none; use it from one thread.
 class StateWriter {
  public:
   using Action = std::function<void(Context&)>;
-  /// Gives a row's value when its write is sent; nothing leaves it as it is.
+  /// Returns a row's value at the time the write is sent; `nullopt` leaves the
+  /// row unchanged.
   using Render = std::function<std::optional<std::string>()>;
 
-  /// `patience` outlives this object.
+  /// `store_timeout` must outlive this object.
   StateWriter(StateWriterOptions options, const Leadership::Claimed& claimed,
-              const StoreTimeout* patience, TimePoint now);
+              const StoreTimeout* store_timeout, TimePoint now);
 
-  /// The row is to be written with what `render` gives then.
+  /// Marks the row dirty: the next write stores the value that `render` returns
+  /// then.
   void Mark(const RowKey& key, Render render);
-  /// The row is to be removed.
+  /// Removes the row with the next write.
   void Remove(const RowKey& key);
-  /// True if a change of the row is not known to be stored yet.
+  /// Returns true if the row has a change that is not confirmed as stored.
   bool IsPending(const RowKey& key) const;
-  /// Runs `action` once all changes of the row up to now are stored.
+  /// Runs `action` once all changes made to the row so far are stored.
   /// Precondition: `IsPending(key)`.
   void RunWhenStored(const RowKey& key, Action action);
 
-  /// Sends what is due, if nothing is under way.
+  /// Sends the next write if one is due and none is in flight.
   void Flush(Context& ctx);
-  /// When `Flush` is due next without new marks.
+  /// When `Flush` is due next if no row is marked until then.
   TimePoint next_at() const;
 
   enum class LeaseStatus { kHeld, kDeposed, kReleased };
-  bool Owns(Ticket ticket) const { return in_flight_ && call_ == ticket; }
-  /// Takes in the answer of the write under way.
+  bool Owns(Ticket ticket) const { return in_flight_ && ticket_ == ticket; }
+  /// Handles the response to the write in flight.
   LeaseStatus Handle(Context& ctx, const CommitCompleted& answer);
 
-  /// The process stood still until `now`, and another may schedule since: the
-  /// next write changes nothing but the lease.
-  void RequireConfirmation(TimePoint now) { confirm_after_ = now; }
-  /// False until a write that was sent after that moment has been stored.
-  bool MayAct() const { return confirmed_at_ >= confirm_after_; }
+  /// Called after the process was paused until `now`. Another node may hold the
+  /// lease since then, so the next write only renews the lease.
+  void RequireConfirmation(TimePoint now) {
+    confirmation_required_since_ = now;
+  }
+  /// Returns false until a write sent after that moment is stored.
+  bool MayAct() const { return confirmed_at_ >= confirmation_required_since_; }
 
-  /// Gives the lease up with the next write; what is marked goes before it.
+  /// Releases the lease with the next write; dirty rows are written first.
   void Release() { release_ = true; }
 
   Epoch epoch() const { return record_.epoch; }
-  /// When the store last confirmed that this node leads.
+  /// When the store last confirmed this node's lease.
   TimePoint confirmed_at() const { return confirmed_at_; }
-  bool idle() const { return !in_flight_ && marked_.empty(); }
-  /// False if the store refused the newest write, or left several sendings of
-  /// it unanswered.
+  bool idle() const { return !in_flight_ && dirty_.empty(); }
+  /// Returns false if the store did not apply the newest write, or left several
+  /// attempts of it without a response.
   bool store_answers() const {
-    return refusals_ == 0 && misses_ < kMaxUnanswered;
+    return rejections_ == 0 && unanswered_attempts_ < kMaxUnanswered;
   }
 
  private:
@@ -101,33 +107,33 @@
 
   void Compose();
   void Send(Context& ctx);
-  /// Lets the write under way be sent again after a pause.
+  /// Schedules another attempt of the write in flight.
   void Resend(TimePoint now);
-  void Stored(Context& ctx, Revision revision);
-  void PutBack();
+  void OnStored(Context& ctx, Revision revision);
+  void Requeue();
 
   StateWriterOptions options_;
-  const StoreTimeout* patience_;
+  const StoreTimeout* store_timeout_;
   LeaderRecord record_;
   Revision revision_;
   TimePoint confirmed_at_;
-  TimePoint confirm_after_;
-  std::map<PendingKey, Pending> marked_;
+  TimePoint confirmation_required_since_;
+  std::map<PendingKey, Pending> dirty_;
 
-  // The write under way, kept as it is until it is settled.
+  // The write in flight. It stays unchanged until its outcome is known.
   bool in_flight_ = false;
-  bool waits_ = false;
-  bool unsettled_ = false;
+  bool retry_scheduled_ = false;
+  bool outcome_unknown_ = false;
   bool release_ = false;
-  int refusals_ = 0;
-  /// Sendings of the write under way that were not answered.
-  int misses_ = 0;
-  Ticket call_;
+  int rejections_ = 0;
+  /// Attempts of the write in flight that got no response.
+  int unanswered_attempts_ = 0;
+  Ticket ticket_;
   TimePoint sent_at_;
   TimePoint retry_at_;
   LeaderRecord next_record_;
   RowTransaction transaction_;
-  std::map<PendingKey, Pending> sent_;
+  std::map<PendingKey, Pending> in_flight_rows_;
 };
 
 }  // namespace limeledge::dispatch
