--- a/src/dispatch/catalog.cc
+++ b/src/dispatch/catalog.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Look-ups in the configuration.
+/// Queue lookups in the catalog.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/src/dispatch/catalog.h
+++ b/src/dispatch/catalog.h
@@ -1,6 +1,6 @@
 /// @file
-/// The operator's configuration as the dispatcher uses it: queues, services
-/// and workspaces.
+/// The operator's configuration as the dispatcher uses it: queues, services and
+/// workspaces.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -21,47 +21,48 @@
 
 using QueueId = Id<struct QueueIdTag>;
 using ServiceId = Id<struct ServiceIdTag>;
-/// Versions of the catalog only rise; they need not be consecutive.
+/// Catalog versions increase monotonically but need not be consecutive.
 using CatalogVersion = Number<struct CatalogVersionTag>;
 
-/// How a queue's jobs are treated.
+/// Scheduling policy of a queue.
 struct QueuePolicy {
   ServiceId service;
-  /// 0 goes first and may displace others.
+  /// 0 is the most urgent; such jobs may preempt others.
   int priority = 0;
-  /// Runs of a task that may fail before its job has failed.
+  /// Number of failed runs of a task after which its job fails.
   int max_attempts = 1;
-  /// The time a job may take is `stretch` times its longest chain of work,
-  /// plus `slack`.
+  /// The time allowed for a job is `stretch` times the critical path of its
+  /// steps, plus `slack`.
   double stretch = 1;
   Duration slack;
-  /// Only some runners may run its steps, and starts need a ticket.
+  /// Steps need a ticket from the advice service to start, and only some
+  /// runners may run them.
   bool needs_advice = false;
 };
 
-/// Where jobs of one kind are handed in.
+/// A queue to which jobs are submitted.
 struct Queue {
   QueueId id;
   std::string host;
   std::string path_prefix;
-  /// Calls need no key.
+  /// Calls need no API key.
   bool is_public = false;
   QueuePolicy policy;
 };
 
-/// What a group of runners does.
+/// A service that a group of runners provides.
 struct Service {
-  /// The service's runners refuse what does not fit by themselves.
+  /// The service's runners refuse tasks that exceed their capacity.
   bool enforces_capacity = false;
 };
 
-/// A workspace and the accelerators that are its own at any time.
+/// A workspace and its guaranteed accelerators.
 struct Workspace {
   WorkspaceId id;
   std::int64_t guaranteed_accelerators = 0;
 };
 
-/// Everything an operator configures, as one version.
+/// One version of the operator's configuration.
 ///
 /// Thread safety: a plain value.
 struct Catalog {
@@ -70,14 +71,13 @@
   std::map<ServiceId, Service> services;
   std::map<WorkspaceId, Workspace> workspaces;
   std::map<std::string, WorkspaceId> workspace_by_key;
-  /// Halls whose runners are to be given nothing. They change without a new
-  /// version.
+  /// Halls whose runners get no new tasks. They change without a new version.
   std::set<HallId> drained_halls;
 
-  /// The queue with the longest prefix that `path` begins with on `host`; null
-  /// if there is none.
+  /// Returns the queue on `host` with the longest path prefix that matches
+  /// `path`; null if there is none.
   const Queue* Match(const std::string& host, const std::string& path) const;
-  /// Null if there is no such queue.
+  /// Returns null if there is no such queue.
   const Queue* Find(const QueueId& id) const;
 };
 
--- a/src/dispatch/catalog_watcher.h
+++ b/src/dispatch/catalog_watcher.h
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps the newest configuration in force on this node.
+/// Keeps this node's copy of the catalog current.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,21 +15,20 @@
 
 namespace limeledge::dispatch {
 
-/// Timing of following the configuration.
+/// Timing of reading and watching the catalog.
 struct CatalogWatcherOptions {
-  /// A following call is answered after this long without a change.
+  /// A watch call returns after this time if nothing changed.
   Duration wait{2000};
-  /// Its answer may come this much later.
+  /// Additional time allowed for the response to a watch call.
   Duration slack{500};
-  /// Pause after a call that failed.
+  /// Pause after a failed call.
   Duration retry_pause{250};
-  /// The configuration is read whole again after this, since a following call
-  /// may miss a change without a sign.
+  /// Interval of full reads; a watch call may miss a change without an error.
   Duration reread_interval{6000};
 };
 
-/// Reads the configuration, then waits for changes. An older version never
-/// replaces a newer one.
+/// Reads the catalog, then watches for changes. An older version never replaces
+/// a newer one.
 ///
 /// Thread safety: none; use it from one thread.
 class CatalogWatcher {
@@ -39,32 +38,32 @@
 
   /// Sends the next call when it is due.
   void Work(Context& ctx);
-  TimePoint next_at() const { return under_way_ ? kNever : next_at_; }
+  TimePoint next_at() const { return in_flight_ ? kNever : next_at_; }
   void Handle(Context& ctx, const CatalogReceived& answer);
 
-  /// Null before the first version.
+  /// Returns null until a first version has been read.
   const Catalog* catalog() const {
     return catalog_.has_value() ? &*catalog_ : nullptr;
   }
   /// When the store last confirmed that there is no newer version.
   TimePoint confirmed_at() const { return confirmed_at_; }
-  /// True if the newest call was answered.
+  /// Returns true if the last call succeeded.
   bool answers() const { return answers_; }
 
  private:
-  /// Takes in which halls are to be emptied.
-  void TakeHalls(Context& ctx, const CatalogReceived& answer);
+  /// Updates the set of drained halls.
+  void UpdateDrainedHalls(Context& ctx, const CatalogReceived& answer);
 
   CatalogWatcherOptions options_;
   std::optional<Catalog> catalog_;
-  std::set<HallId> emptied_halls_;
-  bool under_way_ = false;
-  bool read_next_ = true;
+  std::set<HallId> drained_halls_;
+  bool in_flight_ = false;
+  bool needs_full_read_ = true;
   bool answers_ = false;
-  TimePoint read_at_;
+  TimePoint full_read_at_;
   TimePoint next_at_;
   TimePoint confirmed_at_;
-  Revision seen_;
+  Revision watch_revision_;
 };
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Rules by which a job moves on.
+/// State transitions of a job.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -80,7 +80,7 @@
 }
 
 Job::Job(JobSpec spec) : spec_(std::move(spec)) {
-  MeasureChains();
+  ComputeCriticalPaths();
   occurrences_.resize(spec_.occurrences());
   for (std::size_t k = 0; k < occurrences_.size(); ++k) {
     Occurrence& occurrence = occurrences_[k];
@@ -96,27 +96,28 @@
   }
 }
 
-void Job::MeasureChains() {
-  // Steps come after earlier ones only, so that the last is measured first.
-  chains_.resize(spec_.steps.size());
+void Job::ComputeCriticalPaths() {
+  // A step depends only on earlier ones, so the last step is computed first.
+  critical_paths_.resize(spec_.steps.size());
   for (std::size_t s = spec_.steps.size(); s-- > 0;) {
-    chains_[s] = chains_[s] + spec_.steps[s].estimate;
-    longest_chain_ = std::max(longest_chain_, chains_[s]);
+    critical_paths_[s] = critical_paths_[s] + spec_.steps[s].estimate;
+    critical_path_ = std::max(critical_path_, critical_paths_[s]);
     for (const int before : spec_.steps[s].after) {
-      chains_[before] = std::max(chains_[before], chains_[s]);
+      critical_paths_[before] =
+          std::max(critical_paths_[before], critical_paths_[s]);
     }
   }
 }
 
 Task* Job::Find(const TaskName& name) {
-  const auto within = [](int index, std::size_t size) {
+  const auto in_range = [](int index, std::size_t size) {
     return index >= 0 && static_cast<std::size_t>(index) < size;
   };
-  if (!within(name.occurrence, occurrences_.size())) return nullptr;
+  if (!in_range(name.occurrence, occurrences_.size())) return nullptr;
   Occurrence& occurrence = occurrences_[name.occurrence];
-  if (!within(name.step, occurrence.steps.size())) return nullptr;
+  if (!in_range(name.step, occurrence.steps.size())) return nullptr;
   Step& step = occurrence.steps[name.step];
-  if (!within(name.index, step.tasks.size())) return nullptr;
+  if (!in_range(name.index, step.tasks.size())) return nullptr;
   return &step.tasks[name.index];
 }
 
@@ -187,14 +188,15 @@
                      const std::string& checkpoint, int max_attempts) {
   Step& step = occurrences_[name.occurrence].steps[name.step];
   if (end == RunEnd::kDone) {
-    // One member that is done stands for all of them.
+    // If one member is done, the gang is done.
     for (Task& member : step.tasks) member.phase = TaskPhase::kDone;
     return;
   }
-  // Any member's progress is good for the gang, and all must resume alike.
+  // All members must resume from the same checkpoint, so any member's progress
+  // applies to the whole gang.
   if (!checkpoint.empty()) SaveProgress(name, checkpoint);
   if (end != RunEnd::kFailed) return;
-  // A second member that fails in the same run is the same failure.
+  // Failures of several members in the same run count as one failure.
   Task& failed = step.tasks[name.index];
   if (failed.run > step.last_failed_run) {
     step.last_failed_run = failed.run;
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -1,5 +1,5 @@
 /// @file
-/// A job with the progress of its tasks, and the rules by which it moves on.
+/// A job, the progress of its tasks, and its state transitions.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -29,89 +29,94 @@
 
 enum class TaskPhase {
   kWaiting,
-  /// A run was decided on; it may not have begun yet.
+  /// A run was assigned to a runner; it may not have started.
   kAssigned,
   kDone,
-  /// Failed as often as its queue allows, or given up for what it did to its
-  /// runners.
+  /// Failed `max_attempts` times, or was given up because it is believed to
+  /// crash its runners.
   kFailed,
 };
 
-/// How a run came to its end.
+/// How a run ended.
 enum class RunEnd {
   kDone,
   kFailed,
   /// Stopped on request.
   kStopped,
-  /// The runner's lease ran out, or the runner is gone.
+  /// The lease granted to the runner expired, or the runner no longer exists.
   kLeaseExpired,
   /// Another member of the gang ended.
   kGangBroken,
-  /// The other members did not come in time.
+  /// The other members of the gang did not start in time.
   kGangIncomplete,
-  /// The runner did not begin the run.
+  /// The runner refused to start the run.
   kRejected,
 };
 
 const char* ToString(RunEnd end);
 
-/// One task's progress. The first block is stored, the second is not.
+/// The progress of one task. The members up to `losses` are stored.
 struct Task {
   TaskPhase phase = TaskPhase::kWaiting;
-  /// Number of the newest run; rises by each start.
+  /// Number of the latest run; each start increments it.
   int run = 0;
   int failures = 0;
-  /// Where its present run was started.
+  /// Runner incarnation on which the current run was started.
   IncarnationId incarnation;
-  /// Newest saved progress; empty for none.
+  /// Latest saved progress; empty if there is none.
   std::string checkpoint;
-  /// Runs that went with their runners and tell against the task.
+  /// Lost runs that count against the task.
   std::vector<RunLoss> losses;
 
-  /// It is not to start until it is known what became of runners it was lost
-  /// with.
+  /// The task must not start until the fate of the runners on which it was lost
+  /// is known.
   bool held_back = false;
-  /// Last seen progress of the present run in percent.
+  /// Last reported progress of the current run in percent.
   int percent = 0;
   TimePoint assigned_at;
 };
 
-/// Tasks of one step in one occurrence.
+/// Tasks of one step in one occurrence of the job.
 struct Step {
   std::vector<Task> tasks;
-  /// Runs of the gang that failed, and the newest of them.
+  /// Number of failed runs of the gang, and the number of the latest failed
+  /// run.
   int gang_failures = 0;
   int last_failed_run = 0;
-  /// Since when the step's turn has come without a break; for patience.
+  /// Since when the step has been ready without interruption; the planner's
+  /// waiting times count from it.
   TimePoint ready_since;
   bool ready = false;
-  /// The length of one of its runs was learnt; the others are much alike.
+  /// The duration of one run was recorded; other runs of the step take about as
+  /// long, so that only one is recorded.
   bool duration_known = false;
-  /// Runners on which a run of one of its tasks failed; others are tried first.
+  /// Runners on which a run of one of the tasks failed; other runners are tried
+  /// first.
   std::set<IncarnationId> failed_on;
-  /// The shortest length that runs on each runner were seen to have: what is
-  /// long everywhere is no runner's fault.
+  /// Shortest observed run duration per runner. A run that is slow on every
+  /// runner is not the fault of one of them.
   std::map<IncarnationId, Duration> observed_durations;
 
   int CountIn(TaskPhase phase) const;
-  /// The mean length seen on other runners than that of `incarnation`; 0 for
-  /// none.
+  /// Returns the mean observed duration on other runners than that of
+  /// `incarnation`; 0 if there is none.
   Duration MeanDurationElsewhere(const IncarnationId& incarnation) const;
 };
 
-/// One occurrence of a job's steps.
+/// One repetition of a job's steps.
 struct Occurrence {
   std::vector<Step> steps;
-  /// Wall-clock time from which it may run.
+  /// Wall-clock time before which the steps don't start.
   std::int64_t due_wall_ms = 0;
 };
 
-/// A job as the scheduler knows it.
+/// The scheduler's state of a job.
 ///
 /// Thread safety: none; use it from one thread.
 class Job {
  public:
-  /// A job none of whose tasks has begun. Precondition: `spec` has a step.
+  /// Creates a job without started tasks. Precondition: `spec` has at least one
+  /// step.
   explicit Job(JobSpec spec);
 
   const JobSpec& spec() const { return spec_; }
@@ -124,68 +129,71 @@
   bool HasStep(int step) const {
     return step >= 0 && static_cast<std::size_t>(step) < spec_.steps.size();
   }
-  /// The longest chain of estimates of steps, all of them or from `step` on.
-  Duration critical_path() const { return longest_chain_; }
-  Duration CriticalPathFrom(int step) const { return chains_[step]; }
-  /// Null when the name is not one of this job's.
+  /// Sum of estimates along the longest chain of dependent steps of the job, or
+  /// of those from `step` on.
+  Duration critical_path() const { return critical_path_; }
+  Duration CriticalPathFrom(int step) const { return critical_paths_[step]; }
+  /// Returns null if the name doesn't identify a task of this job.
   Task* Find(const TaskName& name);
 
-  /// Sets what was stored. Precondition: called before any other change.
+  /// Restores stored state. Precondition: called before any other change.
   void Restore(JobState state, bool has_begun) {
     state_ = state;
     has_begun_ = has_begun;
   }
   void RequestCancel() { cancel_asked_ = true; }
 
-  /// True if all tasks of the steps before `step` are done.
+  /// Returns true if all tasks of the steps that `step` depends on are done.
   bool StepIsReady(const Occurrence& occurrence, int step) const;
 
-  /// Decides on a new run of `name` at `runner`; returns the run's number.
-  /// All members of a gang are assigned with one `run`.
-  /// Precondition: the task waits, and `run` is above all of its runs.
+  /// Assigns a new run of `name` to `incarnation`. All members of a gang are
+  /// assigned with the same `run`. Precondition: the task is waiting, and `run`
+  /// is higher than the number of any earlier run.
   void Assign(const TaskName& name, int run, const IncarnationId& incarnation,
               TimePoint now);
-  /// Notes that the task's present run is to be found on another life of its
+  /// Records that the task's current run is on another incarnation of its
   /// runner.
   void MoveRun(const TaskName& name, int run, const IncarnationId& incarnation);
-  /// Smallest number for a next run of the step's task, or of its whole gang.
+  /// Returns the lowest valid number for the next run of the task, or of its
+  /// whole gang.
   int NextRun(const TaskName& name) const;
 
-  /// Notes the end of a run. Returns false, and changes nothing, if that run
-  /// is not the task's present one.
+  /// Records the end of a run. Returns false and changes nothing if `run` isn't
+  /// the task's current run.
   bool EndRun(const TaskName& name, int run, RunEnd end,
               const std::string& checkpoint, int max_attempts);
 
-  /// Notes that a run which counted as over was done all the same: the task is
-  /// done, whatever run it has now. Returns false, and changes nothing, if the
-  /// task has come to its end before, or never does.
+  /// Completes a task because a run that was counted as ended turned out to be
+  /// done, whatever the task's current run. Returns false and changes nothing
+  /// if the task is already done or failed, or if its step is long-running.
   bool CompleteLate(const TaskName& name);
 
-  /// Notes progress that a run has saved; for a gang, that of all members.
+  /// Stores progress saved by a run; for a gang, it applies to all members.
   void SaveProgress(const TaskName& name, const std::string& checkpoint);
 
-  /// Notes that the task's present run went with its runner. Returns false, and
-  /// changes nothing, if that run is not the task's present one.
+  /// Records that the task's current run was lost. Returns false and changes
+  /// nothing if `loss.run` isn't the task's current run.
   bool RecordLoss(const TaskName& name, const RunLoss& loss);
-  /// Notes that a run of the task was well for so long.
+  /// Drops losses that a run of the task outlived by running for `lasted` (see
+  /// `ForgetOutlived`).
   void DropOutlivedLosses(const TaskName& name, Duration lasted,
                           const LossRules& rules);
-  /// Notes what became of a life that the task lost runs with. Returns false if
-  /// nothing changes.
+  /// Updates the task's losses on an incarnation whose fate is now known.
+  /// Returns true if a loss changed.
   bool ResolveLosses(const TaskName& name, const IncarnationId& incarnation,
                      IncarnationFate fate);
-  /// Gives up a task that waits. Returns false, and changes nothing, if it does
-  /// not wait.
+  /// Marks a waiting task as failed. Returns false and changes nothing if the
+  /// task isn't waiting.
   bool FailWaitingTask(const TaskName& name);
 
-  /// Moves the job's own state on by that of its tasks. A cancelled job is
-  /// final at once; its runs are still to be stopped by the caller.
+  /// Updates the job's state from that of its tasks. A cancelled job is final
+  /// at once; the caller still has to stop its runs.
   void Settle();
 
  private:
   void EndGangRun(const TaskName& name, RunEnd end,
                   const std::string& checkpoint, int max_attempts);
-  void MeasureChains();
+  void ComputeCriticalPaths();
   bool AllTasksDone() const;
   bool AnyTaskFailed() const;
 
@@ -194,8 +202,8 @@
   bool cancel_asked_ = false;
   bool has_begun_ = false;
   std::vector<Occurrence> occurrences_;
-  std::vector<Duration> chains_;
-  Duration longest_chain_;
+  std::vector<Duration> critical_paths_;
+  Duration critical_path_;
 };
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Removing the rows of final jobs.
+/// Removes the rows of final jobs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,10 +13,11 @@
 
 namespace limeledge::dispatch {
 
-std::vector<JobId> JobCleaner::ChooseJobs(const std::vector<JobId>& old) const {
+std::vector<JobId> JobCleaner::ChooseJobs(
+    const std::vector<JobId>& final_jobs) const {
   std::vector<JobId> chosen;
-  const std::string partition = JobPartition(old.front().value());
-  for (const JobId& id : old) {
+  const std::string partition = JobPartition(final_jobs.front().value());
+  for (const JobId& id : final_jobs) {
     if (chosen.size() == options_.max_jobs) break;
     if (JobPartition(id.value()) == partition) chosen.push_back(id);
   }
@@ -27,15 +28,15 @@
   for (const JobId& id : book->TakeOrphans()) {
     writer->Remove({kProgressTable, id.value()});
   }
-  if (under_way_ || ctx.now() < next_at_) return;
-  const std::vector<JobId> old =
+  if (in_flight_ || ctx.now() < next_at_) return;
+  const std::vector<JobId> final_jobs =
       book->FinalizedBefore(ctx.now() - options_.job_retention);
-  if (old.empty()) return;
-  jobs_ = ChooseJobs(old);
-  under_way_ = true;
-  call_ = ctx.NewTicket();
+  if (final_jobs.empty()) return;
+  jobs_ = ChooseJobs(final_jobs);
+  in_flight_ = true;
+  ticket_ = ctx.NewTicket();
   CommitRows commit;
-  commit.ticket = call_;
+  commit.ticket = ticket_;
   commit.lane = StoreLane::kScheduler;
   commit.transaction.partition = JobPartition(jobs_.front().value());
   for (const JobId& id : jobs_) {
@@ -49,9 +50,9 @@
 
 void JobCleaner::Handle(Context& ctx, const CommitCompleted& answer,
                         JobRegistry* book, StateWriter* writer) {
-  under_way_ = false;
+  in_flight_ = false;
   if (answer.outcome != StoreOutcome::kDone) {
-    // Removing what is gone already does no harm: all are tried again.
+    // Removing a row twice is harmless, so the whole batch is retried.
     next_at_ = ctx.now() + options_.retry_pause;
     ctx.Log(LogId::kJobsNotCleared,
             {{"jobs", std::to_string(jobs_.size())},
--- a/src/dispatch/job_cleaner.h
+++ b/src/dispatch/job_cleaner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Clears jobs away that have been final for long enough.
+/// Removes jobs from the store some time after they became final.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,25 +16,26 @@
 
 namespace limeledge::dispatch {
 
-/// Timing and size of clearing jobs away.
+/// Timing and size limits of removing final jobs.
 struct JobCleanerOptions {
-  /// States are promised for 120 s; some more for slow callers.
+  /// Final states are promised to callers for 120 s; the rest allows for slow
+  /// callers.
   Duration job_retention{180000};
-  /// Pause after rows could not be removed, as while a part is away.
+  /// Pause after a failed removal, as while a partition is unavailable.
   Duration retry_pause{1000};
-  /// Jobs of one transaction: two rows each, below the store's limit of 100
+  /// Jobs per transaction: two rows each, below the store's limit of 100
   /// entries.
   std::size_t max_jobs = 48;
-  /// Bound on one call to the store.
+  /// Timeout of one call to the store.
   Duration call_timeout{1200};
 };
 
-/// Removes the rows of jobs whose final state is known to be stored, one
-/// transaction at a time. The transaction can not depend on the scheduler's
-/// lease, whose row lies in another part: so it may be sent by one that has
-/// lost it, or come through late. That is harmless, since a stored final state
-/// never changes, whoever schedules. A job's progress is removed after its own
-/// row, or the job would be taken for a new one.
+/// Removes the rows of jobs whose final state is stored, one transaction at a
+/// time. The transaction can't depend on the scheduler's lease, whose row is in
+/// another partition: a scheduler that has lost its lease may still send it, or
+/// it may be applied late. That is harmless, since a stored final state never
+/// changes, whichever node schedules. A job's progress is removed after its job
+/// row; otherwise the job would be read as a new one.
 ///
 /// Thread safety: none; use it from one thread.
 class JobCleaner {
@@ -44,18 +45,18 @@
   /// Sends the next removal if one is due.
   void Work(Context& ctx, JobRegistry* book, StateWriter* writer);
 
-  bool Owns(Ticket ticket) const { return under_way_ && call_ == ticket; }
-  /// Takes in the answer of the removal under way.
+  bool Owns(Ticket ticket) const { return in_flight_ && ticket_ == ticket; }
+  /// Handles the response to the removal in flight.
   void Handle(Context& ctx, const CommitCompleted& answer, JobRegistry* book,
               StateWriter* writer);
 
  private:
-  /// Jobs of one part, the one with the job that is final for longest.
-  std::vector<JobId> ChooseJobs(const std::vector<JobId>& old) const;
+  /// Returns jobs of one partition: that of the first job in `final_jobs`.
+  std::vector<JobId> ChooseJobs(const std::vector<JobId>& final_jobs) const;
 
   JobCleanerOptions options_;
-  bool under_way_ = false;
-  Ticket call_;
+  bool in_flight_ = false;
+  Ticket ticket_;
   std::vector<JobId> jobs_;
   TimePoint next_at_;
 };
--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Reading and following jobs.
+/// Reads and watches the job table.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,116 +16,122 @@
 namespace limeledge::dispatch {
 
 bool JobRegistry::Owns(Ticket ticket) const {
-  if (follow_under_way_ && follow_call_ == ticket) return true;
-  return std::any_of(readings_.begin(), readings_.end(),
-                     [ticket](const Reading& reading) {
-                       return reading.under_way && reading.call == ticket;
+  if (watch_in_flight_ && watch_ticket_ == ticket) return true;
+  return std::any_of(reads_.begin(), reads_.end(),
+                     [ticket](const PartitionRead& read) {
+                       return read.in_flight && read.ticket == ticket;
                      });
 }
 
 bool JobRegistry::HasReadPartitionOf(const JobId& id) const {
-  return parts_read_.count(JobPartition(id.value())) != 0;
+  return partitions_read_.count(JobPartition(id.value())) != 0;
 }
 
 TimePoint JobRegistry::next_at() const {
-  TimePoint next = MayFollow() && !follow_under_way_ ? follow_at_ : kNever;
-  for (const Reading& reading : readings_) {
-    if (!reading.under_way) next = std::min(next, reading.next_at);
+  TimePoint next = CanWatch() && !watch_in_flight_ ? watch_at_ : kNever;
+  for (const PartitionRead& read : reads_) {
+    if (!read.in_flight) next = std::min(next, read.next_at);
   }
-  const bool waits_for_parts = !loaded_ && !parts_read_.empty();
-  if (!waits_for_parts) return next;
-  return std::min(next, jobs_asked_at_ + options_.partition_timeout);
+  const bool waits_for_partitions = !loaded_ && !partitions_read_.empty();
+  if (!waits_for_partitions) return next;
+  return std::min(next, job_read_started_at_ + options_.partition_timeout);
 }
 
-void JobRegistry::BeginReadingJobs(TimePoint now) {
+void JobRegistry::StartReadingJobs(TimePoint now) {
   stage_ = Stage::kReadJobs;
-  jobs_asked_at_ = now;
-  seen_ = Revision();
-  readings_.clear();
+  job_read_started_at_ = now;
+  watch_revision_ = Revision();
+  reads_.clear();
   for (const std::string& partition : AllJobPartitions()) {
-    Reading reading;
-    reading.partition = partition;
-    readings_.push_back(std::move(reading));
+    PartitionRead read;
+    read.partition = partition;
+    reads_.push_back(std::move(read));
   }
 }
 
-void JobRegistry::Read(Context& ctx, Reading* reading) {
-  reading->under_way = true;
-  reading->call = ctx.NewTicket();
+void JobRegistry::Read(Context& ctx, PartitionRead* read) {
+  read->in_flight = true;
+  read->ticket = ctx.NewTicket();
   const char* table =
       stage_ == Stage::kReadProgress ? kProgressTable : kJobTable;
-  ctx.Emit(ReadRows{reading->call, StoreLane::kScheduler, table,
-                    reading->partition, reading->next_key, "",
-                    options_.page_rows, patience_->For(reading->misses)});
+  ctx.Emit(ReadRows{read->ticket, StoreLane::kScheduler, table, read->partition,
+                    read->next_key, "", options_.page_rows,
+                    store_timeout_->For(read->unanswered_attempts)});
 }
 
-void JobRegistry::Follow(Context& ctx) {
-  follow_under_way_ = true;
-  follow_from_ = seen_;
-  follow_call_ = ctx.NewTicket();
-  const Duration timeout = options_.watch_wait + patience_->For(follow_misses_);
-  ctx.Emit(AwaitChanges{follow_call_, kJobTable, seen_, options_.watch_wait,
-                        timeout});
+void JobRegistry::Watch(Context& ctx) {
+  watch_in_flight_ = true;
+  watch_from_ = watch_revision_;
+  watch_ticket_ = ctx.NewTicket();
+  const Duration timeout =
+      options_.watch_wait + store_timeout_->For(unanswered_watches_);
+  ctx.Emit(AwaitChanges{watch_ticket_, kJobTable, watch_revision_,
+                        options_.watch_wait, timeout});
 }
 
 void JobRegistry::Work(Context& ctx) {
-  for (Reading& reading : readings_) {
-    const bool due = !reading.under_way && ctx.now() >= reading.next_at;
-    if (due) Read(ctx, &reading);
+  for (PartitionRead& read : reads_) {
+    const bool due = !read.in_flight && ctx.now() >= read.next_at;
+    if (due) Read(ctx, &read);
   }
-  // Runs of the jobs that are known must not lapse for a part that is away.
-  const bool waited = stage_ == Stage::kReadJobs && !parts_read_.empty() &&
-                      ctx.now() - jobs_asked_at_ >= options_.partition_timeout;
+  // Start scheduling although a partition is unavailable: the leases of known
+  // jobs' runs must be renewed before they expire.
+  const bool waited =
+      stage_ == Stage::kReadJobs && !partitions_read_.empty() &&
+      ctx.now() - job_read_started_at_ >= options_.partition_timeout;
   loaded_ = loaded_ || waited;
-  const bool follows =
-      MayFollow() && !follow_under_way_ && ctx.now() >= follow_at_;
-  if (follows) Follow(ctx);
+  const bool watches =
+      CanWatch() && !watch_in_flight_ && ctx.now() >= watch_at_;
+  if (watches) Watch(ctx);
 }
 
 std::vector<JobId> JobRegistry::Handle(Context& ctx,
                                        const ReadCompleted& answer) {
   std::vector<JobId> changed;
-  const auto reading = std::find_if(
-      readings_.begin(), readings_.end(),
-      [&answer](const Reading& r) { return r.call == answer.ticket; });
-  reading->under_way = false;
+  const auto read = std::find_if(
+      reads_.begin(), reads_.end(),
+      [&answer](const PartitionRead& r) { return r.ticket == answer.ticket; });
+  read->in_flight = false;
   if (answer.outcome != StoreOutcome::kDone) {
-    // One that was lost with its connection is sent again at once.
-    const bool lost =
-        answer.outcome == StoreOutcome::kUnknown && reading->misses == 0;
-    ++reading->misses;
-    if (!lost) reading->next_at = ctx.now() + options_.retry_pause;
+    // A call lost with its connection is retried at once.
+    const bool lost = answer.outcome == StoreOutcome::kUnknown &&
+                      read->unanswered_attempts == 0;
+    ++read->unanswered_attempts;
+    if (!lost) read->next_at = ctx.now() + options_.retry_pause;
     return changed;
   }
-  reading->misses = 0;
+  read->unanswered_attempts = 0;
   const bool jobs = stage_ == Stage::kReadJobs;
-  // What changes after any page was read is followed, though it was told of
-  // before: a cancelling is dropped while its job is still to be taken in.
-  const bool oldest = seen_ == Revision() || answer.newest < seen_;
-  if (jobs && oldest) seen_ = answer.newest;
+  // Watch from the revision of the page that was read first, even if a watch
+  // call already returned later changes: a cancellation is ignored while its
+  // job has not been read, and must be seen again.
+  const bool oldest =
+      watch_revision_ == Revision() || answer.newest < watch_revision_;
+  if (jobs && oldest) watch_revision_ = answer.newest;
   for (const Row& row : answer.rows) {
     if (jobs) {
-      Store(ctx, row, &changed);
+      ApplyRow(ctx, row, &changed);
     } else {
       progress_[JobId(row.key.key)] = row.value;
     }
   }
   if (answer.has_more && !answer.rows.empty()) {
-    // Keys hold no blanks, so that this is the smallest one behind the last.
-    reading->next_key = absl::StrCat(answer.rows.back().key.key, " ");
+    // Keys contain no spaces, so this is the smallest key after the last one.
+    read->next_key = absl::StrCat(answer.rows.back().key.key, " ");
     return changed;
   }
-  if (jobs) parts_read_.insert(reading->partition);
-  readings_.erase(reading);
-  if (readings_.empty()) FinishReading(ctx.now());
+  if (jobs) partitions_read_.insert(read->partition);
+  reads_.erase(read);
+  if (reads_.empty()) FinishStage(ctx.now());
   return changed;
 }
 
-void JobRegistry::FinishReading(TimePoint now) {
-  // Progress first: a job's row is there before its progress, so that no
-  // progress is read for a job that is then taken for a new one.
+void JobRegistry::FinishStage(TimePoint now) {
+  // Progress is read before the jobs: a job's row is written before its
+  // progress, so the row of every job whose progress was read is found
+  // afterwards, and no such job is taken for a new one.
   if (stage_ == Stage::kReadProgress) {
-    BeginReadingJobs(now);
+    StartReadingJobs(now);
     return;
   }
   loaded_ = true;
@@ -139,53 +145,56 @@
 
 std::vector<JobId> JobRegistry::Handle(Context& ctx,
                                        const ChangesReceived& answer) {
-  follow_under_way_ = false;
+  watch_in_flight_ = false;
   std::vector<JobId> changed;
   if (answer.outcome == StoreOutcome::kHistoryCompacted) {
-    // Progress is this node's own by now; only the jobs are read again.
-    BeginReadingJobs(ctx.now());
+    // This node is the only writer of progress, so only the jobs are read
+    // again.
+    StartReadingJobs(ctx.now());
     return changed;
   }
   if (answer.outcome != StoreOutcome::kDone) {
-    // One that was lost with its connection is sent again at once.
+    // A call lost with its connection is retried at once.
     const bool lost =
-        answer.outcome == StoreOutcome::kUnknown && follow_misses_ == 0;
-    ++follow_misses_;
-    if (!lost) follow_at_ = ctx.now() + options_.retry_pause;
+        answer.outcome == StoreOutcome::kUnknown && unanswered_watches_ == 0;
+    ++unanswered_watches_;
+    if (!lost) watch_at_ = ctx.now() + options_.retry_pause;
     return changed;
   }
-  follow_misses_ = 0;
+  unanswered_watches_ = 0;
   for (const Row& row : answer.rows) {
-    if (!row.removed) Store(ctx, row, &changed);
+    if (!row.removed) ApplyRow(ctx, row, &changed);
   }
-  // A part that was read meanwhile, as it was before that, must be followed
-  // from there.
-  const bool goes_on = seen_ == follow_from_;
-  if (goes_on && answer.newest > seen_) seen_ = answer.newest;
+  // If a partition was read during this call, as of an earlier revision, the
+  // next call must watch from that revision.
+  const bool revision_unchanged = watch_revision_ == watch_from_;
+  if (revision_unchanged && answer.newest > watch_revision_)
+    watch_revision_ = answer.newest;
   return changed;
 }
 
-void JobRegistry::Store(Context& ctx, const Row& row,
-                        std::vector<JobId>* changed) {
+void JobRegistry::ApplyRow(Context& ctx, const Row& row,
+                           std::vector<JobId>* changed) {
   if (absl::EndsWith(row.key.key, kCancelSuffix)) {
     const auto id = absl::StripSuffix(row.key.key, kCancelSuffix);
-    StoreCancel(JobId(std::string(id)), changed);
+    ApplyCancel(JobId(std::string(id)), changed);
     return;
   }
   const JobId id(row.key.key);
-  if (jobs_.count(id) != 0 || closed_.count(id) != 0) return;
+  if (jobs_.count(id) != 0 || final_jobs_.count(id) != 0) return;
   absl::StatusOr<JobSpec> spec = DecodeJobSpec(row.value);
   if (!spec.ok() || spec->steps.empty()) {
     ctx.Log(LogId::kRowUnreadable,
             {{"row", id.value()}, {"error", spec.status().ToString()}});
-    // Its progress must stay: the row is there, and may be read one day.
+    // Keep the job's progress: its row exists, and a later version may be able
+    // to decode it.
     progress_.erase(id);
     return;
   }
   auto job = std::make_unique<Job>(*std::move(spec));
-  if (!ReadProgress(ctx, id, job.get())) return;
+  if (!RestoreProgress(ctx, id, job.get())) return;
   if (IsFinal(job->state())) {
-    closed_[id] = ctx.now();
+    final_jobs_[id] = ctx.now();
     return;
   }
   jobs_[id] = std::move(job);
@@ -193,7 +202,7 @@
   changed->push_back(id);
 }
 
-bool JobRegistry::ReadProgress(Context& ctx, const JobId& id, Job* job) {
+bool JobRegistry::RestoreProgress(Context& ctx, const JobId& id, Job* job) {
   const auto progress = progress_.find(id);
   if (progress == progress_.end()) return true;
   const absl::Status status = DecodeProgress(progress->second, job);
@@ -204,7 +213,7 @@
   return false;
 }
 
-void JobRegistry::StoreCancel(const JobId& id, std::vector<JobId>* changed) {
+void JobRegistry::ApplyCancel(const JobId& id, std::vector<JobId>* changed) {
   Job* job = Find(id);
   if (job == nullptr || job->cancel_requested()) return;
   job->RequestCancel();
@@ -219,17 +228,17 @@
 void JobRegistry::MarkFinal(const JobId& id) {
   active_.erase(id);
   jobs_.erase(id);
-  closed_[id] = std::nullopt;
+  final_jobs_[id] = std::nullopt;
 }
 
 void JobRegistry::RecordFinalStored(const JobId& id, TimePoint now) {
-  const auto found = closed_.find(id);
-  if (found != closed_.end()) found->second = now;
+  const auto found = final_jobs_.find(id);
+  if (found != final_jobs_.end()) found->second = now;
 }
 
 std::vector<JobId> JobRegistry::FinalizedBefore(TimePoint moment) const {
   std::vector<JobId> stored;
-  for (const auto& [id, since] : closed_) {
+  for (const auto& [id, since] : final_jobs_) {
     if (since.has_value() && *since < moment) stored.push_back(id);
   }
   return stored;
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -1,6 +1,6 @@
 /// @file
-/// All accepted jobs as the scheduler knows them, read from the store and
-/// followed there.
+/// The scheduler's in-memory copy of all accepted jobs, read from the store and
+/// kept current by a watch.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -22,126 +22,127 @@
 
 namespace limeledge::dispatch {
 
-/// Timing of reading and following jobs.
+/// Timing and paging of reads and watches of the job table.
 struct JobRegistryOptions {
-  /// A following call is answered after this long without a change. Short: new
-  /// jobs are not seen while one waits on a connection that went silent.
+  /// A watch call returns after this time if nothing changed. Short, because
+  /// new jobs are not seen while a call waits on a connection that went silent.
   Duration watch_wait{500};
-  /// Pause after a call that failed.
+  /// Pause after a failed call.
   Duration retry_pause{200};
-  /// Scheduling goes on without a part that can not be read for so long: a few
-  /// readings of an ordinary store, and less than what is left of the runs'
+  /// Scheduling continues without a partition that can't be read for this long:
+  /// a few reads of a healthy store, and less than what remains of the runs'
   /// leases after a take-over.
   Duration partition_timeout{700};
-  /// Rows of one reading; the store's own limit.
+  /// Rows per read; the store's own limit.
   int page_rows = 500;
 };
 
-/// Reads the jobs and their progress whole, then follows new jobs and
-/// cancellations. Progress is only read once, since only the scheduler writes
+/// Reads all jobs and their progress, then watches for new jobs and
+/// cancellations. Progress is read only once, since only the scheduler writes
 /// it.
 ///
 /// Thread safety: none; use it from one thread.
 class JobRegistry {
  public:
-  /// `patience` outlives this object.
-  explicit JobRegistry(const StoreTimeout* patience,
+  /// `store_timeout` must outlive this object.
+  explicit JobRegistry(const StoreTimeout* store_timeout,
                        JobRegistryOptions options = {})
-      : options_(options), patience_(patience) {}
+      : options_(options), store_timeout_(store_timeout) {}
 
-  /// Sends the next call when it is due.
+  /// Sends the calls that are due.
   void Work(Context& ctx);
   TimePoint next_at() const;
-  /// True once everything was read a first time, also while jobs are read again
-  /// because the store forgot its history, or while a part of the store is
-  /// away.
+  /// Returns true once the first read is complete. Stays true while jobs are
+  /// read again because the store compacted its history, and while a partition
+  /// is unavailable.
   bool loaded() const { return loaded_; }
-  /// False while the part that holds the job was never read: nothing can be
-  /// said of it.
+  /// Returns false until the partition that holds the job has been read. Until
+  /// then it is unknown whether the job exists.
   bool HasReadPartitionOf(const JobId& id) const;
-  /// True once every part was read.
+  /// Returns true once every partition has been read.
   bool HasReadAllPartitions() const {
-    return parts_read_.size() == kJobPartitions;
+    return partitions_read_.size() == kJobPartitions;
   }
 
   bool Owns(Ticket ticket) const;
-  /// Takes in an answer to a call of this book (`Owns`); returns the jobs that
-  /// are new or to be cancelled.
+  /// Handles the response to one of this registry's calls (`Owns`). Returns the
+  /// jobs that are new or whose cancellation was requested.
   std::vector<JobId> Handle(Context& ctx, const ReadCompleted& answer);
   std::vector<JobId> Handle(Context& ctx, const ChangesReceived& answer);
 
-  /// Null when the job is not known, or was final long ago.
+  /// Returns null if the job is unknown or final.
   Job* Find(const JobId& id);
   /// Jobs that are not final.
   const std::set<JobId>& active() const { return active_; }
-  /// Notes that the job is final; its tasks are forgotten.
+  /// Marks the job final and drops its tasks.
   void MarkFinal(const JobId& id);
-  /// Notes that the closed job's final state is in the store.
+  /// Records that the final job's state is stored.
   void RecordFinalStored(const JobId& id, TimePoint now);
-  /// Closed jobs whose final state is in the store since before `moment`.
+  /// Returns the final jobs whose state was stored before `moment`.
   std::vector<JobId> FinalizedBefore(TimePoint moment) const;
-  /// Forgets a final job. Precondition: its row is removed, or it would be
-  /// taken for a new one.
-  void Forget(const JobId& id) { closed_.erase(id); }
-  /// Jobs with progress but without a row of their own; told once.
+  /// Removes a final job. Precondition: its row is removed from the store;
+  /// otherwise it would be read as a new job.
+  void Forget(const JobId& id) { final_jobs_.erase(id); }
+  /// Returns jobs that have progress but no job row, each only once.
   std::vector<JobId> TakeOrphans();
 
-  /// Jobs without recurrence none of whose tasks has begun, by queue.
+  /// Counts jobs without recurrence and without started tasks, per queue.
   WaitingCounts CountWaiting() const;
 
  private:
   enum class Stage { kReadProgress, kReadJobs };
-  /// The reading of one part of a table, page by page.
-  struct Reading {
+  /// State of reading one partition of a table page by page.
+  struct PartitionRead {
     std::string partition;
     std::string next_key;
-    bool under_way = false;
-    /// Calls for the present page that were not answered.
-    int misses = 0;
-    Ticket call;
+    bool in_flight = false;
+    /// Calls for the current page that got no response.
+    int unanswered_attempts = 0;
+    Ticket ticket;
     TimePoint next_at;
   };
 
-  /// Reads all parts of the table of jobs at once.
-  void BeginReadingJobs(TimePoint now);
-  void Read(Context& ctx, Reading* reading);
-  /// All parts of the stage's table are read.
-  void FinishReading(TimePoint now);
-  bool MayFollow() const { return loaded_ && seen_ > Revision(); }
-  void Follow(Context& ctx);
-  /// Takes in a row of the table of jobs: a job, or the wish to cancel one.
-  void Store(Context& ctx, const Row& row, std::vector<JobId>* changed);
-  /// Gives a new job the progress that was read for it, if any. Returns false
-  /// if that is unreadable: the job must not begin anew then, since its tasks
-  /// may have run.
-  bool ReadProgress(Context& ctx, const JobId& id, Job* job);
-  void StoreCancel(const JobId& id, std::vector<JobId>* changed);
+  /// Starts to read all partitions of the job table at the same time.
+  void StartReadingJobs(TimePoint now);
+  void Read(Context& ctx, PartitionRead* read);
+  /// Called when all partitions of the stage's table have been read.
+  void FinishStage(TimePoint now);
+  bool CanWatch() const { return loaded_ && watch_revision_ > Revision(); }
+  void Watch(Context& ctx);
+  /// Applies a row of the job table: a job, or a request to cancel one.
+  void ApplyRow(Context& ctx, const Row& row, std::vector<JobId>* changed);
+  /// Restores the progress that was read for a new job, if any. Returns false
+  /// if the progress can't be decoded: the job must not start from the
+  /// beginning then, since its tasks may have run.
+  bool RestoreProgress(Context& ctx, const JobId& id, Job* job);
+  void ApplyCancel(const JobId& id, std::vector<JobId>* changed);
 
   JobRegistryOptions options_;
-  const StoreTimeout* patience_;
+  const StoreTimeout* store_timeout_;
   Stage stage_ = Stage::kReadProgress;
   bool loaded_ = false;
-  /// What is still to be read in this stage.
-  std::vector<Reading> readings_ = {Reading()};
-  TimePoint jobs_asked_at_;
-  std::set<std::string> parts_read_;
-  // The following call.
-  bool follow_under_way_ = false;
-  Ticket follow_call_;
-  /// What the call under way follows from.
-  Revision follow_from_;
-  TimePoint follow_at_;
-  /// Following calls in a row that were not answered.
-  int follow_misses_ = 0;
-  /// Changes after this revision were not seen yet.
-  Revision seen_;
+  /// Partitions that are still to be read in this stage.
+  std::vector<PartitionRead> reads_ = {PartitionRead()};
+  TimePoint job_read_started_at_;
+  std::set<std::string> partitions_read_;
+  // The watch call.
+  bool watch_in_flight_ = false;
+  Ticket watch_ticket_;
+  /// Revision from which the watch call in flight started.
+  Revision watch_from_;
+  TimePoint watch_at_;
+  /// Consecutive watch calls without a response.
+  int unanswered_watches_ = 0;
+  /// Changes after this revision have not been seen.
+  Revision watch_revision_;
   std::vector<JobId> orphans_;
-  /// Progress of jobs whose own row was not read yet.
+  /// Progress of jobs whose job row has not been read.
   std::map<JobId, std::string> progress_;
   std::map<JobId, std::unique_ptr<Job>> jobs_;
   std::set<JobId> active_;
-  /// Final jobs, and since when that is known to be stored, if it is.
-  std::map<JobId, std::optional<TimePoint>> closed_;
+  /// Final jobs, with the time at which the stored final state was confirmed,
+  /// if it was.
+  std::map<JobId, std::optional<TimePoint>> final_jobs_;
 };
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/job_spec.h
+++ b/src/dispatch/job_spec.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a caller hands in: a job of steps, each with tasks of one shape.
+/// What a caller submits: a job made of steps, each with tasks of one shape.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,15 +19,16 @@
 
 namespace limeledge::dispatch {
 
-/// Room on a runner, or what a task takes of it.
+/// Capacity of a runner, or the part of it that a task needs.
 struct Resources {
   std::int64_t cpu_millis = 0;
   std::int64_t memory_mb = 0;
   std::int64_t accelerators = 0;
 
-  bool Fits(const Resources& room) const {
-    return cpu_millis <= room.cpu_millis && memory_mb <= room.memory_mb &&
-           accelerators <= room.accelerators;
+  bool Fits(const Resources& capacity) const {
+    return cpu_millis <= capacity.cpu_millis &&
+           memory_mb <= capacity.memory_mb &&
+           accelerators <= capacity.accelerators;
   }
   Resources& operator+=(const Resources& other) {
     cpu_millis += other.cpu_millis;
@@ -47,104 +48,112 @@
   }
 };
 
-/// How a task shares its runner's processors with the others there. Fillers and
-/// serving tasks disturb each other by amounts that nobody can foresee.
+/// How a task shares its runner's processors with other tasks. Best-effort and
+/// latency-sensitive tasks interfere with each other to an extent that can't be
+/// predicted.
 enum class Sharing {
-  /// Takes what it asked for.
+  /// Uses the processors it requested.
   kNone,
-  /// Takes only what the others leave unused.
+  /// Uses only processor time that other tasks leave unused.
   kBestEffort,
-  /// Serves users of its own, within a bound on the tail of answer times.
+  /// Serves requests within a bound on tail latency.
   kLatencySensitive,
 };
 
-/// The other kind of task that must not be beside one of this kind; `kNone` if
-/// any may be.
+/// Returns the kind of task that must not share a runner with `sharing`;
+/// `kNone` if there is none.
 inline Sharing ConflictingSharing(Sharing sharing) {
   if (sharing == Sharing::kBestEffort) return Sharing::kLatencySensitive;
   return sharing == Sharing::kLatencySensitive ? Sharing::kBestEffort
                                                : Sharing::kNone;
 }
 
-/// Tasks of one shape.
+/// A step of a job: tasks of one shape.
 struct StepSpec {
   int count = 1;
   Resources need;
-  /// The caller's guess of how long a task takes.
+  /// The caller's estimate of a task's run time.
   Duration estimate;
-  /// Steps, by number, whose tasks must all be done first.
+  /// Indexes of the steps whose tasks must all be done first.
   std::vector<int> after;
-  /// A run can be resumed from the last text that it saved.
+  /// A run can resume from the last checkpoint that a previous run saved.
   bool saves_progress = false;
-  /// All tasks run at the same time or none does.
+  /// All tasks run at the same time, or none does.
   bool gang = false;
-  /// The gang is several times slower when spread over racks.
+  /// The gang runs several times slower when it is spread over racks.
   bool same_rack = false;
-  /// Label that the runner must carry; empty for any.
+  /// Label that the runner must have; empty for any runner.
   std::string required_label;
-  /// Rack that holds the data; elsewhere tasks are several times slower.
+  /// Rack that holds the input data; tasks in other racks run several times
+  /// slower.
   std::string data_rack;
-  /// Most tasks of the step on one runner; 0 for no limit.
+  /// Maximum number of the step's tasks on one runner; 0 for no limit.
   int max_per_runner = 0;
-  /// Copies may run side by side.
+  /// Several copies of a task may run at the same time.
   bool speculative = false;
   /// Tasks run until the job is cancelled.
   bool long_running = false;
   std::string image;
-  /// Bound on the tail of the answer times of tasks that serve; 0 for none.
+  /// Bound on the tail latency of latency-sensitive tasks; 0 for none.
   Duration tail_latency_target;
-  /// Takes only processor time that others leave unused.
+  /// The tasks are best effort: they use only processor time that other tasks
+  /// leave unused.
   bool filler = false;
-  /// Tasks that may be away at once by the system's doing; -1 for no limit.
+  /// Maximum number of tasks that the system may make unavailable at the same
+  /// time; -1 for no limit.
   int max_unavailable = -1;
 
-  /// The system may not stop its tasks at will.
+  /// Returns true if the system may stop only a limited number of tasks at a
+  /// time.
   bool limits_unavailability() const { return max_unavailable >= 0; }
-  /// Whether its runs may be stopped so that others have their room.
+  /// Returns true if the scheduler may stop the step's runs to give their
+  /// capacity to others.
   bool preemptible() const { return !long_running && !limits_unavailability(); }
   Sharing sharing() const {
     if (filler) return Sharing::kBestEffort;
     return tail_latency_target > Duration(0) ? Sharing::kLatencySensitive
                                              : Sharing::kNone;
   }
-  /// What a task takes of a runner's room: of the processors, a filler takes
-  /// nothing that others could have.
+  /// Capacity that a task reserves on a runner. A best-effort task reserves no
+  /// processors.
   Resources room() const {
-    Resources taken = need;
-    if (filler) taken.cpu_millis = 0;
-    return taken;
+    Resources reserved = need;
+    if (filler) reserved.cpu_millis = 0;
+    return reserved;
   }
 };
 
-/// A job that repeats at a fixed interval of wall-clock time.
+/// Repeats a job at a fixed interval of wall-clock time.
 struct Recurrence {
-  /// 0 for a job that runs once, when it is accepted.
+  /// Number of repetitions; 0 for a job that runs once, when it is accepted.
   int times = 0;
   std::int64_t first_wall_ms = 0;
   Duration interval;
 };
 
-/// A job as it was accepted; never changes afterwards.
+/// A job as it was accepted. Never changes afterwards.
 struct JobSpec {
   JobId id;
   QueueId queue;
   WorkspaceId workspace;
-  /// The queue's policy when the job was accepted; a newer one goes first.
+  /// The queue's policy when the job was accepted. A newer version of the
+  /// policy takes precedence.
   QueuePolicy policy;
-  /// Opaque text that each task is started with.
+  /// Opaque text that is passed to each task.
   std::string payload;
   std::vector<StepSpec> steps;
   Recurrence recurrence;
-  /// Wall-clock time of acceptance, to order jobs by age.
+  /// Wall-clock time of acceptance; orders jobs by age.
   std::int64_t accepted_wall_ms = 0;
 
-  /// Occurrences of the steps; at least 1.
+  /// Number of times that the steps run; at least 1.
   int occurrences() const {
     return recurrence.times > 0 ? recurrence.times : 1;
   }
 };
 
-/// Names one task: the job, which occurrence of it, the step and the index.
+/// Identifies one task: job, occurrence of the job, step and index within the
+/// step.
 struct TaskName {
   JobId job;
   int occurrence = 0;
@@ -164,10 +173,10 @@
 /// Returns "JOB.OCCURRENCE.STEP.INDEX", for logs.
 std::string ToString(const TaskName& name);
 
-/// Names one run of a task.
+/// Identifies one run of a task.
 using RunKey = std::pair<TaskName, int>;
 
-/// Names one occurrence of a step.
+/// Identifies one occurrence of a step.
 struct StepName {
   JobId job;
   int occurrence = 0;
