--- a/src/dispatch/job.cc
+++ b/src/dispatch/job.cc
@@ -271,7 +271,7 @@
 
 void Job::Settle() {
   if (IsFinal(state_)) return;
-  if (cancel_asked_) {
+  if (cancel_requested_) {
     state_ = JobState::kCancelled;
   } else if (AnyTaskFailed()) {
     state_ = JobState::kFailed;
--- a/src/dispatch/job.h
+++ b/src/dispatch/job.h
@@ -121,7 +121,7 @@
 
   const JobSpec& spec() const { return spec_; }
   JobState state() const { return state_; }
-  bool cancel_requested() const { return cancel_asked_; }
+  bool cancel_requested() const { return cancel_requested_; }
   bool has_begun() const { return has_begun_; }
   std::vector<Occurrence>& occurrences() { return occurrences_; }
   const std::vector<Occurrence>& occurrences() const { return occurrences_; }
@@ -141,7 +141,7 @@
     state_ = state;
     has_begun_ = has_begun;
   }
-  void RequestCancel() { cancel_asked_ = true; }
+  void RequestCancel() { cancel_requested_ = true; }
 
   /// Returns true if all tasks of the steps that `step` depends on are done.
   bool StepIsReady(const Occurrence& occurrence, int step) const;
@@ -199,7 +199,7 @@
 
   JobSpec spec_;
   JobState state_ = JobState::kQueued;
-  bool cancel_asked_ = false;
+  bool cancel_requested_ = false;
   bool has_begun_ = false;
   std::vector<Occurrence> occurrences_;
   std::vector<Duration> critical_paths_;
--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The book of lost runners.
+/// Tracks lost runners and unresolved losses of runs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Losses of runners that are remembered: more than a hall has runners.
-constexpr std::size_t kMostLost = 400;
+// Number of lost runners that are kept: more than a hall has.
+constexpr std::size_t kMaxLostRunners = 400;
 
 }  // namespace
 
@@ -35,7 +35,8 @@
 
 void LossTracker::AddUnresolved(const TaskName& task, const RunLoss& loss,
                                 StartTime listed, TimePoint now) {
-  const auto [it, added] = open_.emplace(loss.incarnation, Open());
+  const auto [it, added] =
+      unresolved_.emplace(loss.incarnation, UnresolvedLosses());
   if (added) {
     it->second.address = loss.address;
     it->second.listed = listed;
@@ -45,21 +46,22 @@
 }
 
 std::vector<TaskName> LossTracker::Resolve(const IncarnationId& incarnation) {
-  const auto found = open_.find(incarnation);
-  if (found == open_.end()) return {};
+  const auto found = unresolved_.find(incarnation);
+  if (found == unresolved_.end()) return {};
   const std::set<TaskName> tasks = std::move(found->second.tasks);
-  open_.erase(found);
+  unresolved_.erase(found);
   return {tasks.begin(), tasks.end()};
 }
 
 std::vector<IncarnationId> LossTracker::ReplacedAt(
     const std::string& address, const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
-  for (const auto& [incarnation, open] : open_) {
-    if (address.empty() || open.address != address) continue;
-    // An entry that was there when the life was lost tells of no later one.
+  for (const auto& [incarnation, losses] : unresolved_) {
+    if (address.empty() || losses.address != address) continue;
+    // A list entry that existed when the run was lost is no evidence of a later
+    // incarnation.
     const bool same_runner = incarnation.runner == living.runner;
-    const bool older = same_runner && living.start_time == open.listed;
+    const bool older = same_runner && living.start_time == losses.listed;
     if (incarnation != living && !older) lost.push_back(incarnation);
   }
   return lost;
@@ -68,7 +70,7 @@
 std::vector<IncarnationId> LossTracker::EarlierIncarnations(
     const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
-  for (const auto& [incarnation, open] : open_) {
+  for (const auto& [incarnation, losses] : unresolved_) {
     if (incarnation.runner == living.runner && incarnation != living)
       lost.push_back(incarnation);
   }
@@ -77,25 +79,26 @@
 
 std::vector<IncarnationId> LossTracker::Overdue(TimePoint now) const {
   std::vector<IncarnationId> overdue;
-  for (const auto& [incarnation, open] : open_) {
-    if (now - open.since >= rules_.fate_timeout) overdue.push_back(incarnation);
+  for (const auto& [incarnation, losses] : unresolved_) {
+    if (now - losses.since >= rules_.fate_timeout)
+      overdue.push_back(incarnation);
   }
   return overdue;
 }
 
 void LossTracker::AddLostRunner(LostRunner lost) {
-  lost_.push_back(std::move(lost));
-  if (lost_.size() > kMostLost) lost_.pop_front();
+  lost_runners_.push_back(std::move(lost));
+  if (lost_runners_.size() > kMaxLostRunners) lost_runners_.pop_front();
 }
 
 std::vector<LostRunner> LossTracker::LostNear(TimePoint moment) const {
-  std::vector<LostRunner> around;
-  for (const LostRunner& lost : lost_) {
+  std::vector<LostRunner> near;
+  for (const LostRunner& lost : lost_runners_) {
     const bool same_moment = lost.silent_since <= moment + rules_.same_moment &&
                              moment <= lost.silent_since + rules_.same_moment;
-    if (same_moment) around.push_back(lost);
+    if (same_moment) near.push_back(lost);
   }
-  return around;
+  return near;
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/loss_tracker.h
+++ b/src/dispatch/loss_tracker.h
@@ -1,5 +1,5 @@
 /// @file
-/// Lost runs whose runner's fate is not known, and when runners were lost.
+/// Tracks lost runs whose runner's fate is unknown, and when runners were lost.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,54 +20,57 @@
 
 namespace limeledge::dispatch {
 
-/// A runner that fell silent and is taken for lost.
+/// A runner that stopped responding and is considered lost.
 struct LostRunner {
   IncarnationId incarnation;
   TimePoint silent_since;
-  /// A start right before it fell silent explains its end.
+  /// True if a run was started right before the runner fell silent, which
+  /// explains a crash.
   bool explained = false;
-  /// Jobs of which a run had begun there soon before.
+  /// Jobs with a run that started on the runner shortly before.
   std::set<JobId> recently_started_jobs;
 };
 
-/// Counts runners of one moment whose end nothing explains: no start right
-/// before it, and no job that had begun soon before on two of them. Safe from
-/// any thread.
+/// Counts the runners in `lost`, all lost at about the same time, whose loss is
+/// unexplained: no run was started right before it, and no job had recently
+/// started runs on two of the runners. Thread-safe.
 int CountUnexplained(const std::vector<LostRunner>& lost);
 
-/// Remembers runners that were lost. Pure bookkeeping.
+/// Records lost runners and unresolved losses of runs.
 ///
 /// Thread safety: none; use it from one thread.
 class LossTracker {
  public:
   explicit LossTracker(const LossRules& rules) : rules_(rules) {}
 
-  /// Notes a lost run whose runner may still live. Noted twice, it counts once.
-  /// `listed`: the birth that the runner's entry told then, which may be that
-  /// of a life before.
+  /// Records a lost run whose runner may still be alive. Recording it twice has
+  /// no effect. `listed` is the start time in the runner's list entry at that
+  /// time, which may be that of an earlier incarnation.
   void AddUnresolved(const TaskName& task, const RunLoss& loss,
                      StartTime listed, TimePoint now);
-  /// Tasks that lost a run with the life, now that its fate is known; they are
-  /// forgotten here.
+  /// Returns the tasks that lost a run with the incarnation, and drops their
+  /// records. Called once the incarnation's fate is known.
   std::vector<TaskName> Resolve(const IncarnationId& incarnation);
-  /// Lives with open losses at the address which are over, now that the list
-  /// tells of `living` there.
+  /// Returns the incarnations with unresolved losses at the address that have
+  /// ended, given that the list now shows `living` there.
   std::vector<IncarnationId> ReplacedAt(const std::string& address,
                                         const IncarnationId& living) const;
-  /// Lives with open losses of the runner, but for `living`, which answers.
+  /// Returns the incarnations of the runner with unresolved losses, except
+  /// `living`, which responds.
   std::vector<IncarnationId> EarlierIncarnations(
       const IncarnationId& living) const;
-  /// Lives with open losses of which nothing was heard for too long.
+  /// Returns the incarnations with losses that have been unresolved for
+  /// `fate_timeout`.
   std::vector<IncarnationId> Overdue(TimePoint now) const;
-  bool HasUnresolved() const { return !open_.empty(); }
+  bool HasUnresolved() const { return !unresolved_.empty(); }
 
-  /// Notes a runner that is taken for lost now.
+  /// Records a runner that is considered lost from now on.
   void AddLostRunner(LostRunner lost);
-  /// Runners that were lost about that moment.
+  /// Returns the runners that were lost within `same_moment` of `moment`.
   std::vector<LostRunner> LostNear(TimePoint moment) const;
 
  private:
-  struct Open {
+  struct UnresolvedLosses {
     std::string address;
     StartTime listed;
     TimePoint since;
@@ -75,9 +78,9 @@
   };
 
   LossRules rules_;
-  std::map<IncarnationId, Open> open_;
-  /// The newest losses of runners, oldest first.
-  std::deque<LostRunner> lost_;
+  std::map<IncarnationId, UnresolvedLosses> unresolved_;
+  /// The latest losses of runners, oldest first.
+  std::deque<LostRunner> lost_runners_;
 };
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/run_loss.cc
+++ b/src/dispatch/run_loss.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The judgement of runs that went with their runners.
+/// Evaluates lost runs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,8 +14,9 @@
 
 namespace {
 
-// A run that lasts so many times as long as a lost one did outlives it.
-constexpr int kOutlives = 2;
+// A run outlives a lost one if it lasts this many times as long, plus the
+// probation.
+constexpr int kOutlivesFactor = 2;
 
 }  // namespace
 
@@ -37,7 +38,7 @@
                         crashes >= rules.crashes ||
                         too_many_starts(last_allowed_run);
   if (given_up) return LossVerdict::kGivenUp;
-  // The same if all that are in doubt turn out to be crashes.
+  // Evaluate again as if all unresolved losses were crashes.
   const auto counted = static_cast<std::size_t>(rules.counted_crashes);
   if (losses.size() >= counted) last_allowed_run = losses[counted - 1].run;
   const bool may_be_too_many =
@@ -54,7 +55,7 @@
 void ForgetOutlived(Duration lasted, const LossRules& rules,
                     std::vector<RunLoss>* losses) {
   const auto outlived = [&](const RunLoss& loss) {
-    return lasted >= loss.lasted * kOutlives + rules.probation;
+    return lasted >= loss.lasted * kOutlivesFactor + rules.probation;
   };
   losses->erase(std::remove_if(losses->begin(), losses->end(), outlived),
                 losses->end());
--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -1,5 +1,6 @@
 /// @file
-/// Runs that went with their runners, and when a task is given up for them.
+/// Runs lost with their runners, and the rules by which a task is given up
+/// because of them.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,86 +17,94 @@
 
 namespace limeledge::dispatch {
 
-/// A run that went with its runner. Stored with its task.
+/// A run that ended because its runner crashed or became unreachable. Stored
+/// with its task.
 struct RunLoss {
   int run = 0;
-  /// The life that was lost.
+  /// The incarnation on which the run was lost.
   IncarnationId incarnation;
-  /// Where another life of the runner would answer; empty if not known.
+  /// Address at which another incarnation of the runner would respond; empty if
+  /// unknown.
   std::string address;
-  /// How long the run had been under way when the runner fell silent.
+  /// How long the run had been running when the runner fell silent.
   Duration lasted;
-  /// The runner crashed; else it may still live, cut off from here.
+  /// True if the runner is known or presumed to have crashed. Otherwise it may
+  /// still be alive but unreachable.
   bool crashed = false;
-  /// The runner fell silent soon after the run's start, and not together with
-  /// others for which no start can be to blame.
+  /// True if the runner fell silent soon after the run's start, and not
+  /// together with runners whose loss no start explains.
   bool suspicious = false;
 };
 
-/// What became of a life of a runner that runs were lost with.
+/// What happened to a runner incarnation on which runs were lost.
 enum class IncarnationFate {
-  /// It answers: it was cut off, and the runs were lost by chance.
+  /// It responds: it had only been unreachable, so the losses don't count
+  /// against the task.
   kAlive,
   kCrashed,
-  /// Nothing was heard of it for so long that it counts as crashed. It may have
-  /// been cut off all the while: that is no ground to suspect a task.
+  /// It was silent for so long that it counts as crashed. It may only have been
+  /// unreachable, so the losses are not held to be suspicious.
   kPresumedCrashed,
 };
 
-/// When runs that went with their runners tell against their task. Over 1,000
-/// random courses each, of which half have a task that crashes its runners and
-/// all have runners that crash by themselves, docs/DECISIONS.md compares these
-/// figures with others.
+/// Rules by which lost runs count against their task. docs/DECISIONS.md
+/// compares these values with others, each over 1,000 random simulations: half
+/// of them contain a task that crashes its runners, and in all of them runners
+/// also crash for other reasons.
 struct LossRules {
-  /// A crash so soon after the start of a run is suspicious: a call that waits
-  /// on a runner without answers ends within 1.5 s, and some for the network.
+  /// A crash within this time of a run's start is suspicious. A call to an
+  /// unresponsive runner times out within 1.5 s; the rest allows for the
+  /// network.
   Duration soon{2000};
-  /// A task is given up after so many suspicious crashes. The platform allows
-  /// it from the second crash on.
+  /// Suspicious crashes after which a task is given up. The platform permits
+  /// that from the second crash on.
   int suspicious_crashes = 2;
-  /// The same for crashes of any kind.
+  /// Crashes of any kind after which a task is given up.
   int crashes = 4;
-  /// After so many crashes of any kind the platform counts further starts, of
-  /// which it allows so many: a member of a gang may be started in vain since
-  /// another one crashed its runner first.
+  /// After `counted_crashes` crashes of any kind, the platform counts further
+  /// starts and permits `starts_after_them` of them. They need not run: a
+  /// member of a gang may be started in vain because another member crashed its
+  /// runner first.
   int counted_crashes = 3;
   int starts_after_them = 2;
-  /// Runners that fall silent within this of each other may have one cause.
+  /// Runners that fall silent within this time of each other may have a common
+  /// cause.
   Duration same_moment{1000};
-  /// A start explains a crash if the runner fell silent within this after it: a
-  /// few round trips. Twice as much explains every second crash by chance where
-  /// a runner gets a start a second.
+  /// A start explains a crash if the runner fell silent within this time after
+  /// it: a few round trips. With twice the value, every second unrelated crash
+  /// would be explained where a runner gets one start per second.
   Duration explained{250};
-  /// So many crashes at the same moment that no start explains tell of a cause
-  /// from outside, such as power that is lost.
+  /// This many unexplained crashes at the same moment indicate an external
+  /// cause, such as a power failure.
   int min_unexplained_crashes = 2;
-  /// How long it is waited for what became of a silent runner. Longer than an
-  /// entry takes to lapse, and a runner to come back after a crash.
+  /// How long the fate of a silent runner may stay unknown. Longer than a list
+  /// entry takes to expire, and than a runner takes to come back after a crash.
   Duration fate_timeout{20000};
-  /// A suspect task is told from others by running alone for so long: twice the
-  /// time after which a crash is no longer suspicious.
+  /// How long a suspect task runs alone on a runner to find out whether it is
+  /// the cause: twice the time after which a crash is no longer suspicious.
   Duration probation{4000};
 };
 
-/// What a task's losses say about its next start.
+/// Whether a task may be started, given its losses.
 enum class LossVerdict {
   kMayStart,
-  /// Too many unless one of the runners turns out to live: it is waited for.
+  /// The losses are too many unless one of the runners turns out to be alive;
+  /// wait for that.
   kMustWait,
   kGivenUp,
 };
 
-/// Judges a task by what it lost so far, in rising order of runs; `newest_run`
-/// is the last that was decided on. Thread-safe.
+/// Evaluates a task's losses, which are in ascending order of runs.
+/// `newest_run` is the last run that was assigned. Thread-safe.
 LossVerdict EvaluateLosses(const std::vector<RunLoss>& losses, int newest_run,
                            const LossRules& rules);
 
-/// True if the task may be what crashed a runner. Thread-safe.
+/// Returns true if the task may have crashed a runner. Thread-safe.
 bool IsSuspect(const std::vector<RunLoss>& losses);
 
-/// Forgets losses that came much sooner than `lasted`, after which a later run
-/// was still well: a task that crashes its runners does so each time at about
-/// the same point. Thread-safe for different `losses`.
+/// Removes losses that occurred much earlier in their run than `lasted`, the
+/// time for which a later run was healthy: a task that crashes its runners does
+/// so at about the same point of each run. Thread-safe for different `losses`.
 void ForgetOutlived(Duration lasted, const LossRules& rules,
                     std::vector<RunLoss>* losses);
 
