--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Random courses in which jobs are cancelled beside faults, with calm between
-/// them, against the oracle of an emulated system.
+/// Random simulations that cancel jobs during bursts of faults, with calm
+/// periods between them, checked by the oracle of the emulated system.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,51 +20,53 @@
 
 namespace {
 
-/// Courses of one run, unless more are asked for.
+/// Simulations per test run, unless the environment sets another number.
 constexpr int kDefaultRunCount = 20;
 
-/// Jobs that go on for long, most of them cancelled soon; faults in bursts.
-class CancelCourse {
+/// Submits long jobs, most of which are cancelled soon, and injects faults in
+/// bursts.
+class CancelSimulation {
  public:
-  explicit CancelCourse(int seed)
+  explicit CancelSimulation(int seed)
       : random_(static_cast<std::uint64_t>(seed)), system_(OptionsFor(seed)) {
     only_mute_ = seed % 4 == 1;
     TraceIfRequested(&system_);
   }
 
-  /// Returns what went wrong.
-  std::vector<std::string> Play() {
+  /// Returns descriptions of the violations.
+  std::vector<std::string> Run() {
     system_.Run(Duration(3000));
     for (int i = 0; i < kBursts; ++i) {
       Burst();
       system_.faults() = Faults();
       Calm();
     }
-    std::vector<std::string> wrong = system_.violations();
-    if (system_.longest_order_lane() > kMostQueued) {
-      wrong.push_back(std::to_string(system_.longest_order_lane()) +
-                      " orders to one runner wait for each other");
+    std::vector<std::string> violations = system_.violations();
+    if (system_.longest_order_lane() > kMaxQueued) {
+      violations.push_back(std::to_string(system_.longest_order_lane()) +
+                           " orders to one runner wait for each other");
     }
-    return wrong;
+    return violations;
   }
 
  private:
   static constexpr int kBursts = 6;
   static constexpr int kNodes = 10;
-  /// The scheduler hands over one order to a runner at a time.
-  static constexpr std::size_t kMostQueued = 1;
-  /// Longer than the time in which what is cancelled has to be gone.
+  /// The scheduler sends one order at a time to each runner.
+  static constexpr std::size_t kMaxQueued = 1;
+  /// Longer than the time within which the tasks of a cancelled job must be
+  /// stopped.
   static constexpr Duration kCalm{9000};
 
   static SystemOptions OptionsFor(int seed) {
     SystemOptions options;
     options.seed = static_cast<std::uint64_t>(seed);
     options.nodes = kNodes;
-    // On few runners many runs meet, and all their orders wait for each other.
+    // With few runners, each has many runs, whose orders wait for each other.
     options.runners = 1 + seed % 8;
-    // Jobs are read in several pages.
+    // Makes the registry read the jobs in several pages.
     if (seed % 2 == 0) options.job_registry.page_rows = 3;
-    // Some runners count a late order's lease from its arrival.
+    // Some runners count the lease of a late order from its arrival.
     if (seed % 3 == 0) options.bounds.lease_from_arrival = Duration(5000);
     return options;
   }
@@ -78,9 +80,9 @@
     const TimePoint end = system_.now() + Duration(Pick(1000, 15000));
     while (system_.now() < end) {
       if (!OneIn(3)) SubmitSome();
-      if (OneIn(2)) Fault();
+      if (OneIn(2)) InjectFault();
       if (OneIn(8)) CancelAll();
-      Pass(Pick(20, 400));
+      Advance(Pick(20, 400));
     }
   }
 
@@ -89,7 +91,7 @@
     while (system_.now() < end) {
       if (OneIn(4)) SubmitSome();
       if (OneIn(10)) CancelAll();
-      Pass(Pick(100, 600));
+      Advance(Pick(100, 600));
     }
   }
 
@@ -110,21 +112,23 @@
     spec.steps.push_back(step);
     spec.policy.priority = OneIn(3) ? 0 : 1;
     const JobId job = system_.Submit(std::move(spec), {truth});
-    if (!OneIn(4)) planned_.push_back({job, Duration(Pick(50, 3000))});
+    if (!OneIn(4))
+      planned_cancellations_.push_back({job, Duration(Pick(50, 3000))});
   }
 
-  /// Lets time pass and cancels what is due: a time after it was accepted.
-  void Pass(int ms) {
-    constexpr int kPiece = 20;
-    for (int passed = 0; passed < ms; passed += kPiece) {
-      system_.Run(Duration(kPiece));
+  /// Advances the time and cancels the jobs that are due, some time after their
+  /// acceptance.
+  void Advance(int ms) {
+    constexpr int kIncrement = 20;
+    for (int passed = 0; passed < ms; passed += kIncrement) {
+      system_.Run(Duration(kIncrement));
       CancelDue();
     }
   }
 
   void CancelDue() {
-    std::vector<Planned> left;
-    for (Planned& planned : planned_) {
+    std::vector<PlannedCancellation> left;
+    for (PlannedCancellation& planned : planned_cancellations_) {
       if (!system_.jobs().at(planned.job).accepted) {
         left.push_back(planned);
       } else if (planned.after > Duration(0)) {
@@ -134,11 +138,11 @@
         system_.Cancel(planned.job);
       }
     }
-    planned_ = std::move(left);
+    planned_cancellations_ = std::move(left);
   }
 
   void CancelAll() {
-    planned_.clear();
+    planned_cancellations_.clear();
     std::vector<JobId> jobs;
     for (const auto& [id, watch] : system_.jobs()) {
       if (watch.accepted && !watch.cancel_sent) jobs.push_back(id);
@@ -152,12 +156,12 @@
                        : ids[Pick(0, static_cast<int>(ids.size()) - 1)];
   }
 
-  int LeaderOrAny() {
+  int LeaderOrAnyNode() {
     const int leader = system_.leader();
     return leader >= 0 ? leader : Pick(0, kNodes - 1);
   }
 
-  /// Two nodes stay at least.
+  /// At least two nodes remain.
   void RemoveLeader() {
     if (removed_ + 2 >= kNodes) return;
     const int leader = system_.leader();
@@ -166,28 +170,28 @@
     system_.RemoveNode(leader);
   }
 
-  /// The leader is lost right after all jobs were cancelled, and orders get no
-  /// answers: the next one finds runs of jobs that are closed.
-  void LoseLeaderWithItsStops() {
+  /// Removes the leader right after all jobs were cancelled, while orders get
+  /// no responses: the next leader finds runs of jobs that are already final.
+  void RemoveLeaderDuringCancellation() {
     system_.faults().orders_lost = 1;
     system_.faults().late_order = Duration(12000);
     CancelAll();
-    Pass(Pick(20, 400));
+    Advance(Pick(20, 400));
     RemoveLeader();
     SubmitSome();
-    Pass(Pick(2000, 5000));
+    Advance(Pick(2000, 5000));
   }
 
-  /// A runner is mute for some seconds while all else is sound.
-  void MuteOrHear() {
-    std::set<RunnerId>& mute = system_.faults().mute_runners;
-    if (OneIn(5)) mute.clear();
-    if (OneIn(3)) mute.insert(AnyRunner());
+  /// Mutes a runner for some seconds without any other fault.
+  void ToggleMutedRunners() {
+    std::set<RunnerId>& muted = system_.faults().mute_runners;
+    if (OneIn(5)) muted.clear();
+    if (OneIn(3)) muted.insert(AnyRunner());
   }
 
-  void Fault() {
+  void InjectFault() {
     if (only_mute_) {
-      MuteOrHear();
+      ToggleMutedRunners();
       return;
     }
     Faults& faults = system_.faults();
@@ -196,13 +200,13 @@
         RemoveLeader();
         break;
       case 1:
-        system_.KillNode(LeaderOrAny(), Duration(Pick(100, 4000)));
+        system_.KillNode(LeaderOrAnyNode(), Duration(Pick(100, 4000)));
         break;
       case 2:
-        system_.StopNode(LeaderOrAny());
+        system_.StopNode(LeaderOrAnyNode());
         break;
       case 3:
-        system_.FreezeNode(LeaderOrAny(), Duration(Pick(500, 5000)));
+        system_.FreezeNode(LeaderOrAnyNode(), Duration(Pick(500, 5000)));
         break;
       case 4:
       case 5:
@@ -211,7 +215,7 @@
         break;
       case 15:
       case 16:
-        LoseLeaderWithItsStops();
+        RemoveLeaderDuringCancellation();
         break;
       case 6:
         faults.polls_lost = 0.3;
@@ -236,7 +240,7 @@
             0, dispatch::kJobPartitions - 1)]);
         break;
       case 13:
-        faults.nodes_without_store = {LeaderOrAny()};
+        faults.nodes_without_store = {LeaderOrAnyNode()};
         break;
       case 14:
         OneIn(2) ? system_.KillRunner(AnyRunner(), Duration(Pick(500, 8000)))
@@ -248,40 +252,41 @@
     }
   }
 
-  /// A job to be cancelled, and what is left until then once it is accepted.
-  struct Planned {
+  /// A job to cancel, and the time left until then, counted from its
+  /// acceptance.
+  struct PlannedCancellation {
     JobId job;
     Duration after;
   };
 
   std::mt19937_64 random_;
   EmulatedSystem system_;
-  std::vector<Planned> planned_;
+  std::vector<PlannedCancellation> planned_cancellations_;
   int removed_ = 0;
-  /// No other faults, which would excuse late starts.
+  /// True if no other faults occur, which would excuse late starts.
   bool only_mute_ = false;
 };
 
 }  // namespace
 
 TEST_GROUP(CancelFuzz){
-    /// Plays courses; each that breaks a promise is printed.
-    static int CountBroken(int first, int courses){int broken = 0;
-for (int seed = first; seed < first + courses; ++seed) {
-  const std::vector<std::string> wrong = CancelCourse(seed).Play();
-  if (wrong.empty()) continue;
-  ++broken;
-  UT_PRINT(("seed " + std::to_string(seed) + ": " + wrong.front() + " (" +
-            std::to_string(wrong.size()) + " in all)")
+    /// Runs simulations and prints each one that breaks a promise.
+    static int CountFailures(int first, int count){int failed = 0;
+for (int seed = first; seed < first + count; ++seed) {
+  const std::vector<std::string> violations = CancelSimulation(seed).Run();
+  if (violations.empty()) continue;
+  ++failed;
+  UT_PRINT(("seed " + std::to_string(seed) + ": " + violations.front() + " (" +
+            std::to_string(violations.size()) + " in all)")
                .c_str());
 }
-return broken;
+return failed;
 }  // namespace limeledge::emulator
 }
 ;
 
-TEST(CancelFuzz, NothingRunsOnOfCancelledJobs) {
-  LONGS_EQUAL(0, CountBroken(FirstSeed(), RunCountOr(kDefaultRunCount)));
+TEST(CancelFuzz, TasksOfCancelledJobsAreStopped) {
+  LONGS_EQUAL(0, CountFailures(FirstSeed(), RunCountOr(kDefaultRunCount)));
 }
 
 }  // namespace limeledge::emulator
--- a/test/crash-fixture.h
+++ b/test/crash-fixture.h
@@ -1,5 +1,5 @@
 /// @file
-/// The fixture of tests with tasks that crash their runners.
+/// Fixture for tests with tasks that crash their runners.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,16 +13,16 @@
 
 namespace limeledge::emulator {
 
-/// The crash comes as soon as the runner begins the task.
+/// The task crashes its runner as soon as it starts.
 inline constexpr Duration kCrashImmediately{10};
-/// Most starts of a task that crashes its runners: none after the third crash
-/// may be the third.
+/// Maximum number of starts of a task that crashes its runners: at most two of
+/// them may follow the third crash.
 inline constexpr int kMaxStarts = 5;
 
-/// An emulated system, and jobs whose first task crashes its runners.
+/// An emulated system with jobs whose first task crashes its runners.
 class CrashFixture : public SchedulerFixture {
  public:
-  /// Hands in a job whose first task crashes its runners after so much work.
+  /// Submits a job whose first task crashes its runner after this much work.
   JobId SubmitCrashing(dispatch::StepSpec step, Duration after) {
     dispatch::JobSpec spec;
     spec.steps = {std::move(step)};
--- a/test/crash-fuzz-test.cc
+++ b/test/crash-fuzz-test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Random courses in which some tasks crash their runners, and runners crash by
-/// themselves: how often the two are taken for each other.
+/// Random simulations in which some tasks crash their runners and runners also
+/// crash for other reasons; measures how often the wrong task is given up.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -21,36 +21,36 @@
 
 namespace {
 
-/// Courses of one run, unless more are asked for.
+/// Simulations per test run, unless the environment sets another number.
 constexpr int kDefaultRunCount = 30;
-/// Innocent jobs that may be given up, in a thousand; measured over 1,000
-/// courses in docs/DECISIONS.md.
-constexpr int kMostWrongInAThousand = 5;
+/// Limit on innocent jobs that are given up, per thousand; measured over 1,000
+/// simulations in docs/DECISIONS.md.
+constexpr int kMaxWrongPerThousand = 5;
 
-/// A figure of the rules that the environment names, or `otherwise`.
+/// Returns the integer in the environment variable `name`, or `otherwise`.
 int FromEnvironment(const char* name, int otherwise) {
   const char* text = std::getenv(name);
   return text == nullptr ? otherwise : std::atoi(text);
 }
 
-/// What came of a course, or of several.
-struct Outcome {
+/// Results of one simulation, or of several.
+struct SimulationResult {
   int innocent_jobs = 0;
   int innocent_failed = 0;
   int culprits = 0;
-  /// Jobs that can not be done and were not told so by the end.
-  int culprits_left = 0;
+  /// Jobs that can't be done but were not reported as failed by the end.
+  int unresolved_culprits = 0;
   int crashes = 0;
   double bystanders_core_s = 0;
-  /// From the first crash of each until it was settled, in all.
+  /// Total time from each such job's first crash until the job ended.
   double culprits_s = 0;
   int violations = 0;
 
-  Outcome& operator+=(const Outcome& other) {
+  SimulationResult& operator+=(const SimulationResult& other) {
     innocent_jobs += other.innocent_jobs;
     innocent_failed += other.innocent_failed;
     culprits += other.culprits;
-    culprits_left += other.culprits_left;
+    unresolved_culprits += other.unresolved_culprits;
     crashes += other.crashes;
     bystanders_core_s += other.bystanders_core_s;
     culprits_s += other.culprits_s;
@@ -59,17 +59,17 @@
   }
 };
 
-/// One random course over a system.
-class CrashCourse {
+/// One random simulation on an emulated system.
+class CrashSimulation {
  public:
-  CrashCourse(int seed, bool keeps_ids)
+  CrashSimulation(int seed, bool keeps_ids)
       : random_(static_cast<std::uint64_t>(seed)),
         system_(OptionsFor(seed, keeps_ids)) {
-    system_.SetTrace([this](const std::string& line) { NoteSettled(line); });
+    system_.SetTrace([this](const std::string& line) { RecordEnd(line); });
     TraceIfRequested(&system_);
   }
 
-  Outcome Play() {
+  SimulationResult Run() {
     system_.Run(Duration(3000));
     for (int i = 0; i < kSteps; ++i) {
       Step();
@@ -77,22 +77,23 @@
     }
     system_.faults() = Faults();
     system_.Run(Duration(90000));
-    return Judge();
+    return CollectResults();
   }
 
  private:
   static constexpr int kSteps = 60;
-  static constexpr Duration kLeastCulpritWork{2000};
-  static constexpr int kRunnersInARack = 4;
-  /// A fault each five seconds: a runner crashes by itself twice a minute.
-  static constexpr int kStepsAFault = 10;
+  static constexpr Duration kMinCulpritWork{2000};
+  static constexpr int kRunnersPerRack = 4;
+  /// One fault every five seconds: a runner crashes for other reasons twice a
+  /// minute.
+  static constexpr int kStepsPerFault = 10;
 
   static SystemOptions OptionsFor(int seed, bool keeps_ids) {
     SystemOptions options;
     options.keeps_ids = keeps_ids;
     options.seed = static_cast<std::uint64_t>(seed);
-    options.runners = 4 * kRunnersInARack;
-    options.runners_per_rack = kRunnersInARack;
+    options.runners = 4 * kRunnersPerRack;
+    options.runners_per_rack = kRunnersPerRack;
     dispatch::LossRules& rules = options.loss;
     rules.suspicious_crashes =
         FromEnvironment("LIMELEDGE_SUSPICIOUS", rules.suspicious_crashes);
@@ -102,13 +103,13 @@
     return options;
   }
 
-  /// Takes the time at which a job failed out of a log line.
-  void NoteSettled(const std::string& line) {
+  /// Records the time at which a job ended, from its log line.
+  void RecordEnd(const std::string& line) {
     if (line.find("job_settled") == std::string::npos) return;
     constexpr char kJob[] = "job=";
     const std::size_t job = line.find(kJob) + sizeof(kJob) - 1;
     const JobId id(line.substr(job, line.find(' ', job) - job));
-    settled_at_.emplace(id, system_.now());
+    ended_at_.emplace(id, system_.now());
   }
 
   int Pick(int from, int to) {
@@ -119,7 +120,7 @@
   void Step() {
     Submit();
     if (OneIn(2)) Submit();
-    if (OneIn(kStepsAFault)) Fault();
+    if (OneIn(kStepsPerFault)) InjectFault();
   }
 
   void Submit() {
@@ -133,11 +134,12 @@
     step.saves_progress = OneIn(2);
     TaskTruth truth;
     truth.work = step.estimate * Pick(60, 160) / 100;
-    // Half of the courses have such tasks, some three each.
+    // Half of the simulations have such tasks, about three each.
     if (has_culprits_ && OneIn(30)) {
-      // Most crash as soon as they begin, some in the midst of their work. An
-      // emulated gang is done with its first member, whose runner may be ahead.
-      truth.work = std::max(truth.work, kLeastCulpritWork);
+      // Most crash as soon as they start, some in the middle of their work. An
+      // emulated gang is done when its first member is done, whose runner may
+      // be ahead.
+      truth.work = std::max(truth.work, kMinCulpritWork);
       truth.crashes_after =
           OneIn(4) ? truth.work * Pick(10, 90) / 100 : Duration(Pick(5, 800));
       truth.crashing_index = OneIn(2) ? -1 : Pick(0, step.count - 1);
@@ -153,7 +155,7 @@
                        : ids[Pick(0, static_cast<int>(ids.size()) - 1)];
   }
 
-  void Fault() {
+  void InjectFault() {
     switch (Pick(0, 7)) {
       case 0:
       case 1:
@@ -196,77 +198,79 @@
     }
   }
 
-  Outcome Judge() {
+  SimulationResult CollectResults() {
     constexpr double kMsPerSecond = 1000;
-    Outcome outcome;
+    SimulationResult result;
     for (const auto& [id, watch] : system_.jobs()) {
       const std::string state = system_.StateOf(id);
       if (watch.truths[0].crashes_after.has_value()) {
-        ++outcome.culprits;
-        if (watch.first_crash.has_value() && settled_at_.count(id) != 0) {
-          const Duration told = settled_at_.at(id) - *watch.first_crash;
-          outcome.culprits_s += static_cast<double>(told.ms()) / kMsPerSecond;
+        ++result.culprits;
+        if (watch.first_crash.has_value() && ended_at_.count(id) != 0) {
+          const Duration detection_time = ended_at_.at(id) - *watch.first_crash;
+          result.culprits_s +=
+              static_cast<double>(detection_time.ms()) / kMsPerSecond;
         }
         if (state != "failed") {
-          ++outcome.culprits_left;
+          ++result.unresolved_culprits;
           UT_PRINT(("culprit " + id.value() + " ends as " + state).c_str());
         }
       } else {
-        ++outcome.innocent_jobs;
-        if (state != "done") ++outcome.innocent_failed;
+        ++result.innocent_jobs;
+        if (state != "done") ++result.innocent_failed;
       }
     }
-    outcome.crashes = system_.crashes().crashes;
-    outcome.bystanders_core_s =
-        system_.crashes().bystanders_work / kMsPerSecond;
-    outcome.violations = static_cast<int>(system_.violations().size());
+    result.crashes = system_.crashes().crashes;
+    result.bystanders_core_s = system_.crashes().bystanders_work / kMsPerSecond;
+    result.violations = static_cast<int>(system_.violations().size());
     for (const std::string& what : system_.violations()) {
       UT_PRINT(what.c_str());
     }
-    return outcome;
+    return result;
   }
 
   std::mt19937_64 random_;
   const bool has_culprits_ = random_() % 2 == 0;
-  std::map<JobId, TimePoint> settled_at_;
+  std::map<JobId, TimePoint> ended_at_;
   EmulatedSystem system_;
 };
 
-/// Plays courses, checks what came of them, and prints it.
-void PlayCourses(bool keeps_ids) {
-  Outcome all;
+/// Runs simulations, checks their results and prints them.
+void RunSimulations(bool keeps_ids) {
+  SimulationResult all;
   for (int i = 0; i < RunCountOr(kDefaultRunCount); ++i) {
     const int seed = FirstSeed() + i;
-    const Outcome outcome = CrashCourse(seed, keeps_ids).Play();
-    all += outcome;
-    if (outcome.violations + outcome.culprits_left > 0) {
+    const SimulationResult result = CrashSimulation(seed, keeps_ids).Run();
+    all += result;
+    if (result.violations + result.unresolved_culprits > 0) {
       UT_PRINT(("seed " + std::to_string(seed) + ": " +
-                std::to_string(outcome.violations) + " broken promises, " +
-                std::to_string(outcome.culprits_left) + " culprits left")
+                std::to_string(result.violations) + " broken promises, " +
+                std::to_string(result.unresolved_culprits) + " culprits left")
                    .c_str());
     }
   }
   UT_PRINT((std::to_string(all.innocent_failed) + " of " +
             std::to_string(all.innocent_jobs) + " innocents failed, " +
-            std::to_string(all.culprits_left) + " of " +
+            std::to_string(all.unresolved_culprits) + " of " +
             std::to_string(all.culprits) + " culprits left, " +
             std::to_string(all.crashes) + " crashes, " +
             std::to_string(all.bystanders_core_s) + " core-seconds lost, " +
             std::to_string(all.culprits_s) + " s until culprits were told")
                .c_str());
   LONGS_EQUAL(0, all.violations);
-  LONGS_EQUAL(0, all.culprits_left);
+  LONGS_EQUAL(0, all.unresolved_culprits);
   constexpr int kThousand = 1000;
   CHECK_TRUE(all.innocent_failed * kThousand <=
-             all.innocent_jobs * kMostWrongInAThousand);
+             all.innocent_jobs * kMaxWrongPerThousand);
 }
 
 }  // namespace
 
 TEST_GROUP(CrashFuzz){};
 
-TEST(CrashFuzz, CulpritsAreGivenUpAndOthersAreNot) { PlayCourses(false); }
+TEST(CrashFuzz, CulpritsAreGivenUpAndOthersAreNot) { RunSimulations(false); }
 
-TEST(CrashFuzz, SameWhereRunnersComeBackUnderTheirIds) { PlayCourses(true); }
+TEST(CrashFuzz, CulpritsAreGivenUpWhenRunnersKeepTheirIds) {
+  RunSimulations(true);
+}
 
 }  // namespace limeledge::emulator
--- a/test/crash-test.cc
+++ b/test/crash-test.cc
@@ -1,18 +1,15 @@
 /// @file
-/// Tests of tasks under which runners crash.
+/// Tests of tasks that crash their runners.
 //
-// Seen: one task was started thirty times in two minutes, at another runner
-// each time, and every one of these runners crashed, with all that ran beside
-// it. How: the task crashed its runner milliseconds after its start. Four
-// seconds later another life answered at the runner's address, all runs there
-// ended as lapsed, and the task was planned again like any other. Cause: only
-// runs that end as failed counted as attempts. A run that goes with its runner
-// counted nowhere: not in the job, not in its row, not in the plan. Proof: the
-// log of runs that went with runners, each some 20 ms after the task's start,
-// and these tests.
-//
-// Copyright (c) 2026 the limeledge authors.
-// SPDX-License-Identifier: MIT
+// These tests guard against a task that is restarted without limit: one task
+// was started thirty times in two minutes, each time on another runner, and
+// crashed each of them together with all other runs there. It crashed its
+// runner milliseconds after its start. Four seconds later another incarnation
+// responded at the runner's address, all runs on it ended because their leases
+// had expired, and the task was planned again like any other. Only failed runs
+// counted as attempts; a run lost with its runner counted neither in the job
+// nor in its row nor in the plan. The log of lost runs showed each loss some 20
+// ms after the task's start.
 
 #include "crash-fixture.h"
 
@@ -47,7 +44,7 @@
   CheckNoViolation();
 }
 
-TEST(Crash, CountOfCrashesOutlivesTheSchedulersThatSawThem) {
+TEST(Crash, CrashCountSurvivesSchedulerFailover) {
   const JobId job =
       SubmitCrashing(Step(1, 1, Duration(2500)), kCrashImmediately);
   for (int i = 0; i < 20; ++i) {
@@ -60,7 +57,7 @@
   CheckNoViolation();
 }
 
-TEST(Crash, RunnerThatStaysAwayLongCountsAsWell) {
+TEST(Crash, RunnerThatStaysDownForLongCountsAsWell) {
   SystemOptions options;
   options.crash_down = Duration(9000);
   EmulatedSystem slow(options);
@@ -77,8 +74,8 @@
   for (const std::string& what : slow.violations()) FAIL(what.c_str());
 }
 
-// A suspect task is tried where the least is lost, and nothing is put beside it
-// meanwhile: the runs that went with the first crash are the only ones.
+// A suspect task runs where the least work is at risk, and no other task is
+// started beside it: only the runs lost in the first crash are lost.
 TEST(Crash, SuspectTaskIsTriedAloneWhereRunnersAreFree) {
   const JobId job = Submit(Step(2, 1, Duration(15000)));
   system.Run(Duration(500));
@@ -98,8 +95,8 @@
   CheckNoViolation();
 }
 
-// Two jobs begin on one runner at the same moment, which one of them crashes.
-TEST(Crash, TaskThatBeganBesideTheCulpritIsNotGivenUpWithIt) {
+// Two jobs start on one runner at the same moment, and one of them crashes it.
+TEST(Crash, TaskStartedBesideTheCulpritIsNotGivenUpWithIt) {
   SystemOptions options;
   options.runners = 4;
   options.planner.urgent_share = 0;
--- a/test/innocent-test.cc
+++ b/test/innocent-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of tasks whose runners go for causes from outside.
+/// Tests of tasks whose runners are lost for external causes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -10,10 +10,10 @@
 
 namespace limeledge::emulator {
 
-// Runners that go for other causes say nothing of the tasks on them.
+// Losses with an external cause must not count against the tasks on the runner.
 class InnocentFixture : public CrashFixture {
  public:
-  /// The runner on which the job's only task runs.
+  /// Returns the runner on which the job's only task runs.
   RunnerId RunnerOf(const JobId& job) {
     RunnerId found;
     for (const RunnerId& id : system.RunnerIds()) {
@@ -28,7 +28,7 @@
 
 TEST_GROUP_BASE(Innocent, InnocentFixture){};
 
-TEST(Innocent, TaskWhoseRunnersAreCutOffAgainAndAgainIsNotGivenUp) {
+TEST(Innocent, TaskOnRepeatedlyUnreachableRunnersIsNotGivenUp) {
   const JobId job = Submit(Step(1, 1, Duration(4000)));
   for (int i = 0; i < 6; ++i) {
     system.Run(Duration(600));
@@ -43,9 +43,10 @@
   CheckNoViolation();
 }
 
-// Nobody knows what became of a runner that is cut off for long. Four of them
-// in a row, soon after a task's starts, have it wait; two of those were then
-// held against it like crashes that it had caused.
+// Guards against a task that is given up for unreachable runners. The fate of a
+// runner that is unreachable for long is unknown. Four such runners in a row,
+// each lost soon after a start of the task, make the task wait; two of them
+// were then counted as crashes that the task had caused.
 TEST(Innocent, TaskOfWhichRunnersAreCutOffForLongIsNotGivenUpAsSuspect) {
   const JobId job = Submit(Step(1, 1, Duration(9000)));
   for (int i = 0; i < 3; ++i) {
@@ -63,7 +64,7 @@
   CheckNoViolation();
 }
 
-TEST(Innocent, TaskWhoseRunnersLeaveAsTheySaidIsNotGivenUp) {
+TEST(Innocent, TaskOnRunnersThatDrainIsNotGivenUp) {
   const JobId job = Submit(Step(1, 1, Duration(6000)));
   for (int i = 0; i < 6; ++i) {
     system.Run(Duration(600));
@@ -103,7 +104,7 @@
   CheckNoViolation();
 }
 
-TEST(Innocent, OtherTasksAreDoneThoughOneCrashesTheirRunners) {
+TEST(Innocent, OtherTasksAreDoneAlthoughOneCrashesTheirRunners) {
   std::vector<JobId> jobs;
   for (int i = 0; i < 4; ++i) {
     jobs.push_back(Submit(Step(4, 1, Duration(6000))));
@@ -119,9 +120,10 @@
   CheckNoViolation();
 }
 
-// A runner crashed and came back between two looks. Its next life refused every
-// start that was sent to the one before, and each refusal was taken for a crash
-// by the task that was to start.
+// Guards against refusals counted as crashes. A runner crashed and came back
+// between two polls. Its next incarnation refused every start addressed to the
+// previous one, and each refusal counted as a crash of the task that was to
+// start.
 TEST(Innocent, TaskWhoseStartAnotherLifeRefusesIsNotGivenUp) {
   SystemOptions options;
   options.runners = 1;
--- a/test/job-book-test.cc
+++ b/test/job-book-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of reading and following jobs.
+/// Tests of the job registry: reading and watching the job table.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,20 +15,20 @@
 
 namespace limeledge::dispatch {
 
-// A book whose calls are answered one by one.
+// A job registry whose calls get their responses one by one.
 TEST_GROUP(JobBook) {
-  StoreTimeout patience;
-  JobBook book{&patience};
+  StoreTimeout store_timeout;
+  JobRegistry registry{&store_timeout};
   Ticket tickets;
   Effects effects;
   TimePoint now{1000};
   const std::string id = "00000000000000a1";
 
-  /// What the book asks for now.
+  /// Returns the calls that the registry makes now.
   Effects Work() {
     effects.clear();
     Context ctx(now, 0, &tickets, &effects);
-    book.Work(ctx);
+    registry.Work(ctx);
     return effects;
   }
 
@@ -41,36 +41,36 @@
     answer.rows = rows;
     answer.newest = Revision(newest);
     Context ctx(now, 0, &tickets, &effects);
-    book.Handle(ctx, answer);
+    registry.Handle(ctx, answer);
   }
 
-  /// The following call tells of changes.
-  void Tell(const AwaitChanges& follow, const std::vector<Row>& rows,
-            int newest) {
+  /// Responds to the watch call with changes.
+  void SendChanges(const AwaitChanges& follow, const std::vector<Row>& rows,
+                   int newest) {
     ChangesReceived answer;
     answer.outcome = StoreOutcome::kDone;
     answer.ticket = follow.ticket;
     answer.rows = rows;
     answer.newest = Revision(newest);
     Context ctx(now, 0, &tickets, &effects);
-    book.Handle(ctx, answer);
+    registry.Handle(ctx, answer);
   }
 
-  void Refuse(const Effect& read) {
+  void RejectCall(const Effect& read) {
     ReadCompleted answer;
     answer.outcome = StoreOutcome::kNotApplied;
     answer.ticket = std::get<ReadRows>(read).ticket;
     Context ctx(now, 0, &tickets, &effects);
-    book.Handle(ctx, answer);
+    registry.Handle(ctx, answer);
   }
 
-  /// The following call's connection fell silent.
-  void Lose(const AwaitChanges& follow) {
+  /// Simulates a watch call whose connection fell silent.
+  void LoseResponse(const AwaitChanges& follow) {
     ChangesReceived answer;
     answer.outcome = StoreOutcome::kUnknown;
     answer.ticket = follow.ticket;
     Context ctx(now, 0, &tickets, &effects);
-    book.Handle(ctx, answer);
+    registry.Handle(ctx, answer);
   }
 
   static Row MakeRow(const char* table, const std::string& key,
@@ -82,7 +82,7 @@
     return row;
   }
 
-  /// Reads progress and jobs whole: one job's rows.
+  /// Completes the first read of progress and jobs: the rows of one job.
   void ReadJob(const std::string& progress, const std::string& job) {
     Answer(Work().front(), {MakeRow(kProgressTable, id, progress)});
     for (const Effect& read : Work()) {
@@ -90,7 +90,7 @@
       Answer(read, own ? std::vector<Row>{MakeRow(kJobTable, id, job)}
                        : std::vector<Row>{});
     }
-    CHECK_TRUE(book.loaded());
+    CHECK_TRUE(registry.loaded());
   }
 
   static std::string EncodedJob() {
@@ -101,88 +101,91 @@
   }
 };
 
-// On a connection that fell silent, new jobs were not seen for 2.8 s, and later
-// for 1.4 s: the call was waited for too long, and there was a pause after it.
+// Guards against new jobs staying unseen for 2.8 s, later 1.4 s, when the
+// connection of a watch call fell silent: the call's timeout was too long, and
+// a pause followed it.
 TEST(JobBook, FollowingCallThatIsLostCostsLessThanASecond) {
   ReadJob(EncodeProgress(Job(*DecodeJobSpec(EncodedJob()))), EncodedJob());
   const auto first = std::get<AwaitChanges>(Work().front());
   CHECK_TRUE(first.timeout > first.wait);
   CHECK_TRUE(first.timeout < Duration(900));
   now = now + first.timeout;
-  Lose(first);
+  LoseResponse(first);
   const auto second = std::get<AwaitChanges>(Work().front());
   LONGS_EQUAL(first.after.value(), second.after.value());
 }
 
-// A store that does not answer at all is not asked again at once.
-TEST(JobBook, FollowingCallThatIsLostTwiceIsSentAfterAPause) {
+// A store that doesn't respond at all is not called again at once.
+TEST(JobBook, WatchCallLostTwiceIsRetriedAfterAPause) {
   ReadJob(EncodeProgress(Job(*DecodeJobSpec(EncodedJob()))), EncodedJob());
-  Lose(std::get<AwaitChanges>(Work().front()));
+  LoseResponse(std::get<AwaitChanges>(Work().front()));
   const auto second = std::get<AwaitChanges>(Work().front());
-  Lose(second);
+  LoseResponse(second);
   CHECK_TRUE(Work().empty());
   now = now + JobRegistryOptions().retry_pause;
   const auto third = std::get<AwaitChanges>(Work().front());
   CHECK_TRUE(third.timeout > second.timeout);
 }
 
-TEST(JobBook, JobsThatAreReadAreKnown) {
-  CHECK_FALSE(book.HasReadPartitionOf(JobId(id)));
+TEST(JobBook, JobsAreFoundOnceTheyAreRead) {
+  CHECK_FALSE(registry.HasReadPartitionOf(JobId(id)));
   ReadJob(EncodeProgress(Job(*DecodeJobSpec(EncodedJob()))), EncodedJob());
-  CHECK_TRUE(book.HasReadPartitionOf(JobId(id)));
-  CHECK_TRUE(book.HasReadAllPartitions());
-  CHECK_TRUE(book.Find(JobId(id)) != nullptr);
-  CHECK_TRUE(book.TakeOrphans().empty());
+  CHECK_TRUE(registry.HasReadPartitionOf(JobId(id)));
+  CHECK_TRUE(registry.HasReadAllPartitions());
+  CHECK_TRUE(registry.Find(JobId(id)) != nullptr);
+  CHECK_TRUE(registry.TakeOrphans().empty());
 }
 
-// With no part to be read, the book asked to be woken in the past: the process
-// did not sleep until the store was back.
-TEST(JobBook, BookThatCanReadNothingSleepsBetweenItsTries) {
+// Guards against busy waiting: when no partition could be read, `next_at` was
+// in the past, so that the process did not sleep until the store was back.
+TEST(JobBook, RegistrySleepsBetweenFailedReads) {
   Answer(Work().front());
   for (int i = 0; i < 3; ++i) {
     now = now + JobRegistryOptions().partition_timeout;
-    for (const Effect& read : Work()) Refuse(read);
-    CHECK_TRUE(book.next_at() > now);
-    CHECK_FALSE(book.loaded());
+    for (const Effect& read : Work()) RejectCall(read);
+    CHECK_TRUE(registry.next_at() > now);
+    CHECK_FALSE(registry.loaded());
   }
 }
 
-TEST(JobBook, ProgressWithoutAJobIsToldOnce) {
+TEST(JobBook, OrphanedProgressIsReturnedOnce) {
   Answer(Work().front(), {MakeRow(kProgressTable, id, "{}")});
   for (const Effect& read : Work()) Answer(read);
-  LONGS_EQUAL(1, book.TakeOrphans().size());
-  CHECK_TRUE(book.TakeOrphans().empty());
+  LONGS_EQUAL(1, registry.TakeOrphans().size());
+  CHECK_TRUE(registry.TakeOrphans().empty());
 }
 
-// The job's row is there; without its progress it would begin anew one day.
-TEST(JobBook, ProgressOfAJobThatCanNotBeReadIsKept) {
+// The job's row exists; if its progress were removed, the job would start from
+// the beginning once a version can decode the row.
+TEST(JobBook, ProgressOfUnreadableJobIsKept) {
   ReadJob("{}", "no job");
-  CHECK_TRUE(book.TakeOrphans().empty());
-  CHECK_TRUE(book.Find(JobId(id)) == nullptr);
+  CHECK_TRUE(registry.TakeOrphans().empty());
+  CHECK_TRUE(registry.Find(JobId(id)) == nullptr);
 }
 
-// Its tasks may have run and must not run again.
-TEST(JobBook, JobWhoseProgressCanNotBeReadDoesNotBeginAnew) {
+// The tasks may have run and must not run again.
+TEST(JobBook, JobWithUnreadableProgressIsNotRestarted) {
   ReadJob("no progress", EncodedJob());
-  CHECK_TRUE(book.Find(JobId(id)) == nullptr);
-  CHECK_TRUE(book.active().empty());
-  CHECK_TRUE(book.TakeOrphans().empty());
+  CHECK_TRUE(registry.Find(JobId(id)) == nullptr);
+  CHECK_TRUE(registry.active().empty());
+  CHECK_TRUE(registry.TakeOrphans().empty());
 }
 
-TEST(JobBook, FinalJobIsClearedOnlyOnceItsStateIsStored) {
+TEST(JobBook, FinalJobIsRemovedOnlyOnceItsStateIsStored) {
   ReadJob(EncodeProgress(Job(*DecodeJobSpec(EncodedJob()))), EncodedJob());
-  book.MarkFinal(JobId(id));
-  CHECK_TRUE(book.FinalizedBefore(now + Duration(1000000)).empty());
-  book.RecordFinalStored(JobId(id), now);
-  CHECK_TRUE(book.FinalizedBefore(now).empty());
-  LONGS_EQUAL(1, book.FinalizedBefore(now + Duration(1)).size());
+  registry.MarkFinal(JobId(id));
+  CHECK_TRUE(registry.FinalizedBefore(now + Duration(1000000)).empty());
+  registry.RecordFinalStored(JobId(id), now);
+  CHECK_TRUE(registry.FinalizedBefore(now).empty());
+  LONGS_EQUAL(1, registry.FinalizedBefore(now + Duration(1)).size());
 }
 
-// A call that followed the table told of a cancelling before the second page of
-// its part, which held the job as it had been before, was taken in: the
-// cancelling was dropped as that of an unknown job, and never told again. The
-// revision from which the next call follows proved it.
-TEST(JobBook, CancellingThatIsFollowedBeforeItsJobIsReadIsNotLost) {
+// Guards against a lost cancellation. A watch call returned the cancellation
+// before the second page of the job's partition was read, and that page held
+// the job as of an earlier revision. The cancellation was dropped because the
+// job was unknown, and the next watch call started after it. The test checks
+// the revision from which the next call watches.
+TEST(JobBook, CancellationWatchedBeforeItsJobIsReadIsNotLost) {
   Answer(Work().front());
   for (const Effect& read : Work()) {
     const bool own = std::get<ReadRows>(read).partition == JobPartition(id);
@@ -197,13 +200,13 @@
   const Effects asked = Work();
   LONGS_EQUAL(2, asked.size());
   const Row cancel = MakeRow(kJobTable, id + kCancelSuffix, "{}");
-  Tell(std::get<AwaitChanges>(asked[1]), {cancel}, 30);
+  SendChanges(std::get<AwaitChanges>(asked[1]), {cancel}, 30);
   Answer(asked[0], {MakeRow(kJobTable, id, EncodedJob())}, 20);
-  CHECK_FALSE(book.Find(JobId(id))->cancel_requested());
+  CHECK_FALSE(registry.Find(JobId(id))->cancel_requested());
   const auto next = std::get<AwaitChanges>(Work().front());
   LONGS_EQUAL(20, next.after.value());
-  Tell(next, {cancel}, 30);
-  CHECK_TRUE(book.Find(JobId(id))->cancel_requested());
+  SendChanges(next, {cancel}, 30);
+  CHECK_TRUE(registry.Find(JobId(id))->cancel_requested());
 }
 
 }  // namespace limeledge::dispatch
--- a/test/run-loss-test.cc
+++ b/test/run-loss-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of what lost runs tell against their tasks.
+/// Tests of how lost runs count against their tasks.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,12 +14,12 @@
 class RunLossFixture : public Utest {
  public:
   LossRules rules;
-  LossTracker book{rules};
+  LossTracker tracker{rules};
   const TaskName task{JobId("j"), 0, 0, 0};
 
-  /// A life of a runner that tells no births, unless one is given.
-  static IncarnationId Life(const char* id,
-                            StartTime start_time = StartTime()) {
+  /// An incarnation of a runner; without a start time unless one is given.
+  static IncarnationId Incarnation(const char* id,
+                                   StartTime start_time = StartTime()) {
     return {RunnerId(id), start_time};
   }
 
@@ -48,13 +48,13 @@
   CheckVerdict(LossVerdict::kMayStart, {});
 }
 
-TEST(RunLoss, TwoSuspiciousCrashesGiveATaskUp) {
+TEST(RunLoss, TaskIsGivenUpAfterTwoSuspiciousCrashes) {
   CheckVerdict(LossVerdict::kMayStart, {Loss(1, true, true)});
   CheckVerdict(LossVerdict::kGivenUp,
                {Loss(1, true, true), Loss(2, true, true)});
 }
 
-TEST(RunLoss, CrashesOfAnyKindGiveATaskUpLater) {
+TEST(RunLoss, TaskIsGivenUpAfterMoreCrashesOfAnyKind) {
   std::vector<RunLoss> losses;
   for (int run = 1; run < rules.crashes; ++run) {
     losses.push_back(Loss(run, true, false));
@@ -71,7 +71,7 @@
   CheckVerdict(LossVerdict::kGivenUp, losses, 6);
 }
 
-TEST(RunLoss, SilentRunnersAreNoCrashesButAreWaitedFor) {
+TEST(RunLoss, TaskWaitsForTheFateOfSilentRunners) {
   std::vector<RunLoss> losses;
   for (int run = 1; run <= rules.crashes; ++run) {
     losses.push_back(Loss(run, false, true));
@@ -79,7 +79,7 @@
   CheckVerdict(LossVerdict::kMustWait, losses);
 }
 
-TEST(RunLoss, RunThatIsWellForLongOutlivesTheLossesBefore) {
+TEST(RunLoss, HealthyRunOutlivesEarlierLosses) {
   std::vector<RunLoss> losses = {Loss(1, true, true, Duration(10)),
                                  Loss(2, true, false, Duration(6000))};
   ForgetOutlived(Duration(8000), rules, &losses);
@@ -89,7 +89,8 @@
   LONGS_EQUAL(0, losses.size());
 }
 
-// The platform counts starts after the third crash, whenever it is learnt of.
+// The platform counts starts after the third crash, no matter when that crash
+// is detected.
 TEST(RunLoss, StartsAfterThreeLossesOfWhichOneIsInDoubtMustWait) {
   const std::vector<RunLoss> losses = {
       Loss(1, false, false), Loss(2, true, false), Loss(3, true, false)};
@@ -97,36 +98,39 @@
   CheckVerdict(LossVerdict::kMustWait, losses, 5);
 }
 
-TEST(RunLoss, BookKnowsTheTasksOfASilentRunnerUntilItsFateIsKnown) {
+TEST(RunLoss, TrackerKeepsTasksOfASilentRunnerUntilItsFateIsKnown) {
   const RunLoss loss = Loss(1, false, true);
-  book.AddUnresolved(task, loss, StartTime(), TimePoint(1000));
-  book.AddUnresolved(task, loss, StartTime(), TimePoint(5000));
-  LONGS_EQUAL(1, book.ReplacedAt(loss.address, Life("i-9")).size());
-  LONGS_EQUAL(0, book.ReplacedAt(loss.address, loss.incarnation).size());
-  LONGS_EQUAL(0, book.ReplacedAt("", Life("i-9")).size());
-  LONGS_EQUAL(0, book.Overdue(TimePoint(20999)).size());
-  LONGS_EQUAL(1, book.Overdue(TimePoint(21000)).size());
-  LONGS_EQUAL(1, book.Resolve(loss.incarnation).size());
-  CHECK_FALSE(book.HasUnresolved());
-}
-
-TEST(RunLoss, BookTellsWhoWasLostAboutAMoment) {
-  book.AddLostRunner({Life("i-1"), TimePoint(1000), false, {}});
-  book.AddLostRunner({Life("i-2"), TimePoint(1900), true, {}});
-  book.AddLostRunner({Life("i-3"), TimePoint(2100), false, {}});
-  LONGS_EQUAL(2, book.LostNear(TimePoint(1000)).size());
-  LONGS_EQUAL(3, book.LostNear(TimePoint(1500)).size());
-}
-
-TEST(RunLoss, RunnersWithAStartToBlameAreExplained) {
+  tracker.AddUnresolved(task, loss, StartTime(), TimePoint(1000));
+  tracker.AddUnresolved(task, loss, StartTime(), TimePoint(5000));
+  LONGS_EQUAL(1, tracker.ReplacedAt(loss.address, Incarnation("i-9")).size());
+  LONGS_EQUAL(0, tracker.ReplacedAt(loss.address, loss.incarnation).size());
+  LONGS_EQUAL(0, tracker.ReplacedAt("", Incarnation("i-9")).size());
+  LONGS_EQUAL(0, tracker.Overdue(TimePoint(20999)).size());
+  LONGS_EQUAL(1, tracker.Overdue(TimePoint(21000)).size());
+  LONGS_EQUAL(1, tracker.Resolve(loss.incarnation).size());
+  CHECK_FALSE(tracker.HasUnresolved());
+}
+
+TEST(RunLoss, TrackerReturnsRunnersLostNearAMoment) {
+  tracker.AddLostRunner({Incarnation("i-1"), TimePoint(1000), false, {}});
+  tracker.AddLostRunner({Incarnation("i-2"), TimePoint(1900), true, {}});
+  tracker.AddLostRunner({Incarnation("i-3"), TimePoint(2100), false, {}});
+  LONGS_EQUAL(2, tracker.LostNear(TimePoint(1000)).size());
+  LONGS_EQUAL(3, tracker.LostNear(TimePoint(1500)).size());
+}
+
+TEST(RunLoss, LossesAfterAStartAreExplained) {
   const JobId common("j");
-  LONGS_EQUAL(2, CountUnexplained({{Life("i-1"), TimePoint(), false, {}},
-                                   {Life("i-2"), TimePoint(), false, {}}}));
-  LONGS_EQUAL(1, CountUnexplained({{Life("i-1"), TimePoint(), true, {}},
-                                   {Life("i-2"), TimePoint(), false, {}}}));
-  LONGS_EQUAL(1, CountUnexplained({{Life("i-1"), TimePoint(), false, {common}},
-                                   {Life("i-2"), TimePoint(), false, {common}},
-                                   {Life("i-3"), TimePoint(), false, {}}}));
+  LONGS_EQUAL(2,
+              CountUnexplained({{Incarnation("i-1"), TimePoint(), false, {}},
+                                {Incarnation("i-2"), TimePoint(), false, {}}}));
+  LONGS_EQUAL(1,
+              CountUnexplained({{Incarnation("i-1"), TimePoint(), true, {}},
+                                {Incarnation("i-2"), TimePoint(), false, {}}}));
+  LONGS_EQUAL(
+      1, CountUnexplained({{Incarnation("i-1"), TimePoint(), false, {common}},
+                           {Incarnation("i-2"), TimePoint(), false, {common}},
+                           {Incarnation("i-3"), TimePoint(), false, {}}}));
 }
 
 TEST(RunLoss, LossesAreStoredWithTheirTask) {
@@ -134,7 +138,7 @@
   spec.id = JobId("j");
   spec.steps.emplace_back();
   Job job(spec);
-  job.Assign(task, 3, Life("i-3"), TimePoint(0));
+  job.Assign(task, 3, Incarnation("i-3"), TimePoint(0));
   CHECK_TRUE(job.RecordLoss(task, Loss(3, true, true, Duration(17))));
   CHECK_FALSE(job.RecordLoss(task, Loss(2, true, true)));
   Job read(spec);
@@ -148,56 +152,61 @@
   CHECK_TRUE(losses[0].crashed && losses[0].suspicious);
 }
 
-TEST(RunLoss, NextLifeAtTheAddressTellsThatTheOneBeforeIsOver) {
+TEST(RunLoss, NextIncarnationAtTheAddressReplacesTheEarlierOne) {
   RunLoss loss = Loss(1, false, true);
   loss.incarnation.start_time = StartTime(100);
-  book.AddUnresolved(task, loss, StartTime(100), TimePoint(1000));
-  LONGS_EQUAL(0, book.ReplacedAt(loss.address, loss.incarnation).size());
-  LONGS_EQUAL(1,
-              book.ReplacedAt(loss.address, Life("i-1", StartTime(50))).size());
+  tracker.AddUnresolved(task, loss, StartTime(100), TimePoint(1000));
+  LONGS_EQUAL(0, tracker.ReplacedAt(loss.address, loss.incarnation).size());
+  LONGS_EQUAL(
+      1, tracker.ReplacedAt(loss.address, Incarnation("i-1", StartTime(50)))
+             .size());
 }
 
-// An entry may lag behind what the runner itself has answered.
-TEST(RunLoss, EntryOfAnEarlierLifeTellsNothingOfALaterOne) {
+// A list entry may be older than what the runner itself has reported.
+TEST(RunLoss, EntryOfAnEarlierIncarnationDoesNotReplaceALaterOne) {
   RunLoss loss = Loss(1, false, true);
   loss.incarnation.start_time = StartTime(100);
-  book.AddUnresolved(task, loss, StartTime(50), TimePoint(1000));
-  LONGS_EQUAL(0,
-              book.ReplacedAt(loss.address, Life("i-1", StartTime(50))).size());
-  LONGS_EQUAL(1, book.EarlierIncarnations(Life("i-1", StartTime(200))).size());
-  LONGS_EQUAL(0, book.EarlierIncarnations(loss.incarnation).size());
+  tracker.AddUnresolved(task, loss, StartTime(50), TimePoint(1000));
+  LONGS_EQUAL(
+      0, tracker.ReplacedAt(loss.address, Incarnation("i-1", StartTime(50)))
+             .size());
+  LONGS_EQUAL(
+      1,
+      tracker.EarlierIncarnations(Incarnation("i-1", StartTime(200))).size());
+  LONGS_EQUAL(0, tracker.EarlierIncarnations(loss.incarnation).size());
 }
 
-TEST(RunLoss, LivesOfARunAndOfALossAreStored) {
+TEST(RunLoss, IncarnationsOfARunAndOfALossAreStored) {
   JobSpec spec;
   spec.id = JobId("j");
   spec.steps.emplace_back();
   Job job(spec);
-  job.Assign(task, 3, Life("i-3", StartTime(1700)), TimePoint(0));
+  job.Assign(task, 3, Incarnation("i-3", StartTime(1700)), TimePoint(0));
   RunLoss loss = Loss(3, true, true);
   loss.incarnation.start_time = StartTime(1600);
   CHECK_TRUE(job.RecordLoss(task, loss));
   Job read(spec);
   CHECK_TRUE(DecodeProgress(EncodeProgress(job), &read).ok());
-  CHECK_TRUE(read.Find(task)->incarnation == Life("i-3", StartTime(1700)));
+  CHECK_TRUE(read.Find(task)->incarnation ==
+             Incarnation("i-3", StartTime(1700)));
   CHECK_TRUE(read.Find(task)->losses[0].incarnation == loss.incarnation);
 }
 
-// The version before reads the first seven of a task and the first six of a
-// loss, and passes over what follows.
-TEST(RunLoss, RowKeepsThePlacesThatTheVersionBeforeReads) {
+// The previous version reads the first seven elements of a task and the first
+// six of a loss, and ignores the rest.
+TEST(RunLoss, RowKeepsThePositionsThatThePreviousVersionReads) {
   JobSpec spec;
   spec.id = JobId("j");
   spec.steps.emplace_back();
   Job job(spec);
-  job.Assign(task, 4, Life("i-4", StartTime(1700)), TimePoint(0));
+  job.Assign(task, 4, Incarnation("i-4", StartTime(1700)), TimePoint(0));
   STRCMP_CONTAINS(R"([0,1,4,0,"i-4","",[],1700])", EncodeProgress(job).c_str());
   Job old(spec);
-  old.Assign(task, 4, Life("i-4"), TimePoint(0));
+  old.Assign(task, 4, Incarnation("i-4"), TimePoint(0));
   STRCMP_CONTAINS(R"([0,1,4,0,"i-4",""])", EncodeProgress(old).c_str());
 }
 
-TEST(RunLoss, RowsOfVersionsThatCountedNoLossesAreRead) {
+TEST(RunLoss, RowsOfVersionsWithoutLossesAreRead) {
   JobSpec spec;
   spec.id = JobId("j");
   spec.steps.emplace_back();
@@ -207,7 +216,7 @@
   CHECK_TRUE(DecodeProgress(row, &read).ok());
   LONGS_EQUAL(4, read.Find(task)->run);
   LONGS_EQUAL(0, read.Find(task)->losses.size());
-  CHECK_TRUE(read.Find(task)->incarnation == Life("i-4"));
+  CHECK_TRUE(read.Find(task)->incarnation == Incarnation("i-4"));
 }
 
 }  // namespace limeledge::dispatch
--- a/test/state-writer-test.cc
+++ b/test/state-writer-test.cc
@@ -17,8 +17,8 @@
   TimePoint now{1000};
   Ticket tickets;
   Effects effects;
-  StoreTimeout patience;
-  StateWriter writer{StateWriterOptions(), ClaimedLease(), &patience,
+  StoreTimeout store_timeout;
+  StateWriter writer{StateWriterOptions(), ClaimedLease(), &store_timeout,
                      TimePoint(1000)};
 
   static Leadership::Claimed ClaimedLease() {
@@ -33,7 +33,7 @@
     writer.Mark(key, [text = std::string(value)] { return text; });
   }
 
-  /// The transaction that is sent now; null if none is.
+  /// Returns the transaction that is sent now; null if there is none.
   const CommitRows* Flush() {
     effects.clear();
     Context ctx(now, 0, &tickets, &effects);
@@ -54,7 +54,7 @@
     return writer.Handle(ctx, answer);
   }
 
-  /// The leader's row as that write left it.
+  /// Returns the leader's row as that write stored it.
   static Row LeaderRowOf(const CommitRows& call) {
     Row row;
     row.key = {kLeadershipTable, kLeaderKey};
@@ -74,7 +74,7 @@
              call.transaction.conditions.front().key);
 }
 
-TEST(StateWriter, OneWriteIsUnderWayAtATime) {
+TEST(StateWriter, OneWriteIsInFlightAtATime) {
   Mark("a");
   const CommitRows call = *Flush();
   Mark("b");
@@ -97,7 +97,7 @@
   CHECK_FALSE(writer.IsPending(key));
 }
 
-TEST(StateWriter, LostWriteThatCameThroughIsKnownByItsOwnSequence) {
+TEST(StateWriter, AppliedWriteWithALostResponseIsRecognizedByItsSequence) {
   bool ran = false;
   Mark("a");
   writer.RunWhenStored(key, [&ran](Context&) { ran = true; });
@@ -113,8 +113,8 @@
   CHECK_TRUE(ran);
 }
 
-// A living holder lost its lease to one lost answer: the call's bound and the
-// pause before the next sending were longer than the lease.
+// Guards against a lease that expires because of one lost response: the call's
+// timeout and the pause before the next attempt were longer than the lease.
 TEST(StateWriter, WriteWhoseAnswersAreLostTwiceIsSentAgainWithinTheLease) {
   const TimePoint renewed = now;
   now = now + StateWriterOptions().renewal;
@@ -129,8 +129,8 @@
   CHECK_TRUE(stood_still < LeadershipOptions().lease);
 }
 
-// Doubling without a bound overflowed after sixty lost answers.
-TEST(StateWriter, PauseBetweenSendingsStaysBoundedThroughALongOutage) {
+// Doubling the pause without a limit overflowed after sixty lost responses.
+TEST(StateWriter, RetryPauseStaysBoundedDuringALongOutage) {
   Mark("a");
   CommitRows call = *Flush();
   for (int lost = 0; lost < 100; ++lost) {
@@ -142,7 +142,7 @@
   }
 }
 
-TEST(StateWriter, OneLostAnswerDoesNotCountAsAStoreThatIsAway) {
+TEST(StateWriter, OneLostResponseDoesNotMakeTheStoreUnavailable) {
   Mark("a");
   Answer(*Flush(), StoreOutcome::kUnknown);
   CHECK_TRUE(writer.store_answers());
@@ -151,7 +151,7 @@
   CHECK_FALSE(writer.store_answers());
 }
 
-TEST(StateWriter, RefusalAfterALostAnswerSettlesNothing) {
+TEST(StateWriter, RejectionAfterALostResponseResolvesNothing) {
   bool ran = false;
   Mark("a");
   writer.RunWhenStored(key, [&ran](Context&) { ran = true; });
@@ -162,7 +162,7 @@
   CHECK_TRUE(writer.IsPending(key));
 }
 
-TEST(StateWriter, RefusedWriteIsSentAgainWithWhatChangedSince) {
+TEST(StateWriter, RejectedWriteIsRetriedWithNewerChanges) {
   Mark("a");
   Answer(*Flush(), StoreOutcome::kNotApplied);
   Mark("b");
@@ -172,7 +172,7 @@
   STRCMP_EQUAL("b", again->transaction.puts.front().value.c_str());
 }
 
-TEST(StateWriter, ForeignLeaderDeposes) {
+TEST(StateWriter, OtherLeaderDeposesTheWriter) {
   Mark("a");
   const CommitRows call = *Flush();
   LeaderRecord other;
