--- a/src/dispatch/job_registry.cc
+++ b/src/dispatch/job_registry.cc
@@ -40,7 +40,7 @@
 void JobRegistry::StartReadingJobs(TimePoint now) {
   stage_ = Stage::kReadJobs;
   job_read_started_at_ = now;
-  watch_revision_ = Revision();
+  revision_ = Revision();
   reads_.clear();
   for (const std::string& partition : AllJobPartitions()) {
     PartitionRead read;
@@ -61,11 +61,11 @@
 
 void JobRegistry::Watch(Context& ctx) {
   watch_in_flight_ = true;
-  watch_from_ = watch_revision_;
+  watch_from_ = revision_;
   watch_ticket_ = ctx.NewTicket();
   const Duration timeout =
       options_.watch_wait + store_timeout_->For(unanswered_watches_);
-  ctx.Emit(AwaitChanges{watch_ticket_, kJobTable, watch_revision_,
+  ctx.Emit(AwaitChanges{watch_ticket_, kJobTable, revision_,
                         options_.watch_wait, timeout});
 }
 
@@ -105,9 +105,8 @@
   // Watch from the revision of the page that was read first, even if a watch
   // call already returned later changes: a cancellation is ignored while its
   // job has not been read, and must be seen again.
-  const bool oldest =
-      watch_revision_ == Revision() || answer.newest < watch_revision_;
-  if (jobs && oldest) watch_revision_ = answer.newest;
+  const bool oldest = revision_ == Revision() || answer.newest < revision_;
+  if (jobs && oldest) revision_ = answer.newest;
   for (const Row& row : answer.rows) {
     if (jobs) {
       ApplyRow(ctx, row, &changed);
@@ -167,9 +166,8 @@
   }
   // If a partition was read during this call, as of an earlier revision, the
   // next call must watch from that revision.
-  const bool revision_unchanged = watch_revision_ == watch_from_;
-  if (revision_unchanged && answer.newest > watch_revision_)
-    watch_revision_ = answer.newest;
+  const bool unchanged = revision_ == watch_from_;
+  if (unchanged && answer.newest > revision_) revision_ = answer.newest;
   return changed;
 }
 
--- a/src/dispatch/job_registry.h
+++ b/src/dispatch/job_registry.h
@@ -107,7 +107,7 @@
   void Read(Context& ctx, PartitionRead* read);
   /// Called when all partitions of the stage's table have been read.
   void FinishStage(TimePoint now);
-  bool CanWatch() const { return loaded_ && watch_revision_ > Revision(); }
+  bool CanWatch() const { return loaded_ && revision_ > Revision(); }
   void Watch(Context& ctx);
   /// Applies a row of the job table: a job, or a request to cancel one.
   void ApplyRow(Context& ctx, const Row& row, std::vector<JobId>* changed);
@@ -134,7 +134,7 @@
   /// Consecutive watch calls without a response.
   int unanswered_watches_ = 0;
   /// Changes after this revision have not been seen.
-  Revision watch_revision_;
+  Revision revision_;
   std::vector<JobId> orphans_;
   /// Progress of jobs whose job row has not been read.
   std::map<JobId, std::string> progress_;
--- a/src/dispatch/loss_tracker.cc
+++ b/src/dispatch/loss_tracker.cc
@@ -56,13 +56,13 @@
 std::vector<IncarnationId> LossTracker::ReplacedAt(
     const std::string& address, const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
-  for (const auto& [incarnation, losses] : unresolved_) {
+  for (const auto& [id, losses] : unresolved_) {
     if (address.empty() || losses.address != address) continue;
     // A list entry that existed when the run was lost is no evidence of a later
     // incarnation.
-    const bool same_runner = incarnation.runner == living.runner;
+    const bool same_runner = id.runner == living.runner;
     const bool older = same_runner && living.start_time == losses.listed;
-    if (incarnation != living && !older) lost.push_back(incarnation);
+    if (id != living && !older) lost.push_back(id);
   }
   return lost;
 }
@@ -70,18 +70,16 @@
 std::vector<IncarnationId> LossTracker::EarlierIncarnations(
     const IncarnationId& living) const {
   std::vector<IncarnationId> lost;
-  for (const auto& [incarnation, losses] : unresolved_) {
-    if (incarnation.runner == living.runner && incarnation != living)
-      lost.push_back(incarnation);
+  for (const auto& [id, losses] : unresolved_) {
+    if (id.runner == living.runner && id != living) lost.push_back(id);
   }
   return lost;
 }
 
 std::vector<IncarnationId> LossTracker::Overdue(TimePoint now) const {
   std::vector<IncarnationId> overdue;
-  for (const auto& [incarnation, losses] : unresolved_) {
-    if (now - losses.since >= rules_.fate_timeout)
-      overdue.push_back(incarnation);
+  for (const auto& [id, losses] : unresolved_) {
+    if (now - losses.since >= rules_.fate_timeout) overdue.push_back(id);
   }
   return overdue;
 }
--- a/src/dispatch/row_codec.cc
+++ b/src/dispatch/row_codec.cc
@@ -25,7 +25,7 @@
 absl::StatusOr<Json::Value> ParseObject(const std::string& text) {
   absl::StatusOr<Json::Value> json = ParseJson(text);
   if (!json.ok()) return json.status();
-  if (!json->isObject()) return absl::InvalidArgumentError("not an object");
+  if (!json->isObject()) return absl::InvalidArgumentError("not a JSON object");
   return json;
 }
 
@@ -157,13 +157,12 @@
   json.append(task.failures);
   json.append(task.incarnation.runner.value());
   json.append(task.checkpoint);
-  const bool has_start_time = IsReported(task.incarnation.start_time);
-  if (task.losses.empty() && !has_start_time) return json;
+  const bool reported = IsReported(task.incarnation.start_time);
+  if (task.losses.empty() && !reported) return json;
   Json::Value losses(Json::arrayValue);
   for (const RunLoss& loss : task.losses) losses.append(EncodeLoss(loss));
   json.append(std::move(losses));
-  if (has_start_time)
-    json.append(Json::Int64(task.incarnation.start_time.value()));
+  if (reported) json.append(Json::Int64(task.incarnation.start_time.value()));
   return json;
 }
 
--- a/src/dispatch/run_loss.cc
+++ b/src/dispatch/run_loss.cc
@@ -32,7 +32,8 @@
     if (crashes == rules.counted_crashes) last_allowed_run = loss.run;
   }
   const auto too_many_starts = [&](std::optional<int> after) {
-    return after.has_value() && newest_run - *after >= rules.starts_after_them;
+    return after.has_value() &&
+           newest_run - *after >= rules.starts_after_counted;
   };
   const bool given_up = suspicious >= rules.suspicious_crashes ||
                         crashes >= rules.crashes ||
--- a/src/dispatch/run_loss.h
+++ b/src/dispatch/run_loss.h
@@ -62,11 +62,11 @@
   /// Crashes of any kind after which a task is given up.
   int crashes = 4;
   /// After `counted_crashes` crashes of any kind, the platform counts further
-  /// starts and permits `starts_after_them` of them. They need not run: a
-  /// member of a gang may be started in vain because another member crashed its
-  /// runner first.
+  /// starts and permits `starts_after_counted` of them. A start counts even if
+  /// the task never runs: a member of a gang may be started in vain because
+  /// another member crashed its runner first.
   int counted_crashes = 3;
-  int starts_after_them = 2;
+  int starts_after_counted = 2;
   /// Runners that fall silent within this time of each other may have a common
   /// cause.
   Duration same_moment{1000};
--- a/test/crash-fuzz-test.cc
+++ b/test/crash-fuzz-test.cc
@@ -98,8 +98,8 @@
     rules.suspicious_crashes =
         FromEnvironment("LIMELEDGE_SUSPICIOUS", rules.suspicious_crashes);
     rules.crashes = FromEnvironment("LIMELEDGE_CRASHES", rules.crashes);
-    rules.starts_after_them =
-        FromEnvironment("LIMELEDGE_STARTS", rules.starts_after_them);
+    rules.starts_after_counted =
+        FromEnvironment("LIMELEDGE_STARTS", rules.starts_after_counted);
     return options;
   }
 
