--- a/src/dispatch/job_cleaner.cc
+++ b/src/dispatch/job_cleaner.cc
@@ -24,13 +24,14 @@
   return chosen;
 }
 
-void JobCleaner::Work(Context& ctx, JobRegistry* book, StateWriter* writer) {
-  for (const JobId& id : book->TakeOrphans()) {
+void JobCleaner::Work(Context& ctx, JobRegistry* registry,
+                      StateWriter* writer) {
+  for (const JobId& id : registry->TakeOrphans()) {
     writer->Remove({kProgressTable, id.value()});
   }
   if (in_flight_ || ctx.now() < next_at_) return;
   const std::vector<JobId> final_jobs =
-      book->FinalizedBefore(ctx.now() - options_.job_retention);
+      registry->FinalizedBefore(ctx.now() - options_.job_retention);
   if (final_jobs.empty()) return;
   jobs_ = ChooseJobs(final_jobs);
   in_flight_ = true;
@@ -49,7 +50,7 @@
 }
 
 void JobCleaner::Handle(Context& ctx, const CommitCompleted& answer,
-                        JobRegistry* book, StateWriter* writer) {
+                        JobRegistry* registry, StateWriter* writer) {
   in_flight_ = false;
   if (answer.outcome != StoreOutcome::kDone) {
     // Removing a row twice is harmless, so the whole batch is retried.
@@ -60,7 +61,7 @@
     return;
   }
   for (const JobId& id : jobs_) {
-    book->Forget(id);
+    registry->Forget(id);
     writer->Remove({kProgressTable, id.value()});
   }
 }
--- a/src/dispatch/job_cleaner.h
+++ b/src/dispatch/job_cleaner.h
@@ -43,12 +43,12 @@
   explicit JobCleaner(JobCleanerOptions options = {}) : options_(options) {}
 
   /// Sends the next removal if one is due.
-  void Work(Context& ctx, JobRegistry* book, StateWriter* writer);
+  void Work(Context& ctx, JobRegistry* registry, StateWriter* writer);
 
   bool Owns(Ticket ticket) const { return in_flight_ && ticket_ == ticket; }
   /// Handles the response to the removal in flight.
-  void Handle(Context& ctx, const CommitCompleted& answer, JobRegistry* book,
-              StateWriter* writer);
+  void Handle(Context& ctx, const CommitCompleted& answer,
+              JobRegistry* registry, StateWriter* writer);
 
  private:
   /// Returns jobs of one partition: that of the first job in `final_jobs`.
--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -112,8 +112,7 @@
     spec.steps.push_back(step);
     spec.policy.priority = OneIn(3) ? 0 : 1;
     const JobId job = system_.Submit(std::move(spec), {truth});
-    if (!OneIn(4))
-      planned_cancellations_.push_back({job, Duration(Pick(50, 3000))});
+    if (!OneIn(4)) planned_.push_back({job, Duration(Pick(50, 3000))});
   }
 
   /// Advances the time and cancels the jobs that are due, some time after their
@@ -128,7 +127,7 @@
 
   void CancelDue() {
     std::vector<PlannedCancellation> left;
-    for (PlannedCancellation& planned : planned_cancellations_) {
+    for (PlannedCancellation& planned : planned_) {
       if (!system_.jobs().at(planned.job).accepted) {
         left.push_back(planned);
       } else if (planned.after > Duration(0)) {
@@ -138,11 +137,11 @@
         system_.Cancel(planned.job);
       }
     }
-    planned_cancellations_ = std::move(left);
+    planned_ = std::move(left);
   }
 
   void CancelAll() {
-    planned_cancellations_.clear();
+    planned_.clear();
     std::vector<JobId> jobs;
     for (const auto& [id, watch] : system_.jobs()) {
       if (watch.accepted && !watch.cancel_sent) jobs.push_back(id);
@@ -261,7 +260,7 @@
 
   std::mt19937_64 random_;
   EmulatedSystem system_;
-  std::vector<PlannedCancellation> planned_cancellations_;
+  std::vector<PlannedCancellation> planned_;
   int removed_ = 0;
   /// True if no other faults occur, which would excuse late starts.
   bool only_mute_ = false;
