--- a/src/dispatch/rows.cc
+++ b/src/dispatch/rows.cc
@@ -12,9 +12,7 @@
 
 namespace {
 
-std::string JobPartitionName(unsigned number) {
-  return absl::StrCat("j", number);
-}
+std::string PartitionName(unsigned number) { return absl::StrCat("j", number); }
 
 }  // namespace
 
@@ -22,14 +20,13 @@
   // Job ids are random, so that their last characters are evenly distributed.
   const unsigned last_char =
       job.empty() ? 0 : static_cast<unsigned char>(job.back());
-  return JobPartitionName(last_char % kJobPartitions);
+  return PartitionName(last_char % kJobPartitions);
 }
 
 std::vector<std::string> AllJobPartitions() {
-  std::vector<std::string> partitions;
-  for (unsigned i = 0; i < kJobPartitions; ++i)
-    partitions.push_back(JobPartitionName(i));
-  return partitions;
+  std::vector<std::string> all;
+  for (unsigned i = 0; i < kJobPartitions; ++i) all.push_back(PartitionName(i));
+  return all;
 }
 
 }  // namespace limeledge::dispatch
