--- a/src/dispatch/context.h
+++ b/src/dispatch/context.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the parts of a node share while one event is reduced.
+/// The context in which the components of a node handle an event.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,12 +17,12 @@
 
 namespace limeledge::dispatch {
 
-/// The moment that never comes: nothing is to be done by itself.
+/// A time in the far future: nothing is scheduled.
 inline constexpr TimePoint kNever{INT64_MAX / 4};
 
-/// The moment of an event and the place for its effects.
+/// The time of an event and the list that collects its effects.
 ///
-/// Thread safety: none; lives for one call of the reducer.
+/// Thread safety: none. A context exists only during one call of the reducer.
 class Context {
  public:
   Context(TimePoint now, std::int64_t wall_ms, Ticket* tickets,
--- a/src/dispatch/effect.h
+++ b/src/dispatch/effect.h
@@ -1,5 +1,5 @@
 /// @file
-/// Everything that a dispatcher node has done for it, as data.
+/// The effects that a dispatcher node requests, as data.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,18 +18,20 @@
 
 namespace limeledge::dispatch {
 
-/// Which calls to the store may not wait for each other.
+/// Independent lanes of store requests: a request never queues behind requests
+/// of another lane.
 enum class StoreLane {
   kLeader,
   kCallers,
   kJobFeed,
-  /// The scheduler's own calls about jobs, one lane for each part: a take-over
-  /// must not wait behind callers' calls whose answers are lost.
+  /// Requests of the scheduler about jobs, with one lane for each partition. A
+  /// take-over must not queue behind requests of callers that get no response.
   kScheduler,
-  /// Rows of peers, which nothing waits for.
+  /// Rows with the addresses of peers; never urgent.
   kPeers,
 };
 
+/// Executes a transaction.
 struct CommitRows {
   Ticket ticket;
   StoreLane lane = StoreLane::kCallers;
@@ -37,7 +39,7 @@
   Duration timeout;
 };
 
-/// Reads the rows of a part of a table from `from` to before `to`.
+/// Reads the rows of one partition of a table with keys in [`from`, `to`).
 struct ReadRows {
   Ticket ticket;
   StoreLane lane = StoreLane::kCallers;
@@ -49,118 +51,127 @@
   Duration timeout;
 };
 
-/// Waits for changes of a table after a revision.
+/// Long-polls for changes of a table after a revision.
 struct AwaitChanges {
   Ticket ticket;
   std::string table;
   Revision after;
   Duration wait;
-  /// An answer is waited for no longer than this, `wait` included.
+  /// Timeout of the request, including `wait`.
   Duration timeout;
 };
 
 /// Reads the configuration.
 struct ReadCatalog {};
-/// Waits for a newer configuration than that of a revision.
+
+/// Long-polls for a configuration newer than a revision.
 struct AwaitCatalog {
   Revision after;
   Duration wait;
   Duration timeout;
 };
 
-/// Reads the list of runners whole, or waits for changes of it.
+/// Reads the full list of runners, or long-polls for changes of it.
 struct ListRunners {
-  /// What changed after this revision is enough; 0 asks for the whole list.
+  /// Changes after this revision are requested; 0 requests the full list.
   Revision after;
-  /// How long a change is waited for.
+  /// How long the store may hold the request until something changes.
   Duration wait;
-  /// Of each page of the whole list, or of the wait for changes.
+  /// Timeout of each page of the full list, or of the long poll.
   Duration timeout;
 };
 
-/// Where an order goes: the life of a runner that is meant, at an address. A
-/// next life under the same id obeys it as well.
+/// The recipient of an order. Incarnations share the address of their runner:
+/// the order is also executed by a later incarnation with the same id.
 struct OrderTarget {
   IncarnationId incarnation;
   std::string address;
   Epoch epoch;
 };
 
-/// Asks what runs and what ended; grants a lease on everything that runs.
+/// Asks a runner which runs are in progress and which ended, and grants a lease
+/// on those in progress.
 struct PollRunner {
   OrderTarget target;
   PollNumber number;
+  /// Number of the newest end that the scheduler has processed.
   std::int64_t acknowledged_end = 0;
-  /// End of the lease on the runner's clock; 0 grants none.
+  /// End of the lease by the runner's clock; 0 grants none.
   std::int64_t until_ms = 0;
-  /// The answer waits this long for an end.
+  /// How long the runner may hold the response until a run ends.
   Duration wait;
 };
 
+/// Orders a runner to start a run of a task.
 struct StartRun {
   OrderTarget target;
   TaskName task;
   int run = 0;
   std::string payload;
   std::string checkpoint;
-  /// Where the queue needs advice; else empty.
+  /// Ticket of the advice service; empty if the queue needs none.
   std::string ticket;
+  /// End of the lease by the runner's clock.
   std::int64_t until_ms = 0;
 };
 
+/// Orders a runner to stop a run.
 struct StopRun {
   OrderTarget target;
   TaskName task;
   int run = 0;
 };
 
-/// Asks on which of the runners the step may run.
+/// Asks the advice service on which of the runners a step may run.
 struct RequestAdvice {
   StepName step;
   std::vector<IncarnationId> runners;
 };
 
-/// Asks a peer whether the store answers it.
+/// Asks a peer whether it can reach the store.
 struct QueryPeer {
   std::string address;
   Duration timeout;
 };
 
-/// How a caller's call ended.
+/// The result of an API call.
 enum class CallResult {
   kDone,
-  /// The job is not there.
+  /// The job does not exist.
   kUnknownJob,
   kUnknownKey,
   kUnknownQueue,
-  /// The call is malformed; it changed nothing.
+  /// The call is malformed and changed nothing.
   kInvalid,
-  /// The id names another job.
+  /// The id belongs to another job.
   kConflict,
-  /// Not taken; it will never run by this call.
+  /// Not accepted: this call stored nothing and never will.
   kNotAccepted,
-  /// It may have been taken.
+  /// The outcome is unknown: the call may have been accepted.
   kUnknown,
 };
 
+/// Responds to an API call.
 struct RespondToCall {
   CallId call;
   CallResult result = CallResult::kDone;
-  /// With a query: the job's state.
+  /// For a query of a job: its state.
   std::string state;
-  /// With a count: the number of waiting jobs; -1 for none.
+  /// For a query of a queue: the number of waiting jobs; otherwise -1.
   std::int64_t waiting = -1;
   std::string message;
-  /// When to come back; nothing for no advice.
+  /// How long the caller should wait before a retry; not set if a retry
+  /// would not help.
   std::optional<Duration> retry_after;
 };
 
-/// The state that was asked for, as JSON.
+/// Responds to `StateRequested` with the state as JSON.
 struct RespondWithState {
   CallId call;
   std::string text;
 };
 
+/// Sets what the readiness probe reports.
 struct SetReady {
   bool ready = false;
 };
@@ -169,7 +180,8 @@
   LogLine line;
 };
 
-/// All is handed over; the process may end.
+/// Ends the process: the lease is released and no call is pending, or the time
+/// for the shutdown is over.
 struct Exit {};
 
 using Effect = std::variant<CommitRows, ReadRows, AwaitChanges, ReadCatalog,
--- a/src/dispatch/event.h
+++ b/src/dispatch/event.h
@@ -1,5 +1,5 @@
 /// @file
-/// Everything that can happen to a dispatcher node.
+/// The input events of a dispatcher node.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -23,32 +23,35 @@
 
 namespace limeledge::dispatch {
 
-/// Matches an answer of the store to its call.
+/// Correlates a response of the store with its request. Unrelated to the
+/// tickets that the advice service issues, which are strings.
 using Ticket = Number<struct TicketTag>;
 
-/// The moment that was asked for has come.
+/// The timer set for `Node::next_at()` has expired.
 struct TimerFired {};
 
+/// The result of `CommitRows`.
 struct CommitCompleted {
   Ticket ticket;
   StoreOutcome outcome = StoreOutcome::kUnknown;
-  /// Revision of what was written.
+  /// Revision of the written rows.
   Revision revision;
-  /// With a conflict: the rows of the conditions as they are.
+  /// After a conflict: the current rows that the conditions refer to.
   std::vector<Row> rows;
 };
 
+/// The result of `ReadRows`.
 struct ReadCompleted {
   Ticket ticket;
   StoreOutcome outcome = StoreOutcome::kUnknown;
   std::vector<Row> rows;
-  /// More rows follow after the last one.
+  /// True if the table has further matching rows after the last one in `rows`.
   bool has_more = false;
-  /// Newest revision of the store.
+  /// The current revision of the store.
   Revision newest;
 };
 
-/// Changes of a table, or nothing new within the wait.
+/// The result of `AwaitChanges`; `rows` is empty if nothing changed in time.
 struct ChangesReceived {
   Ticket ticket;
   StoreOutcome outcome = StoreOutcome::kUnknown;
@@ -56,35 +59,36 @@
   Revision newest;
 };
 
-/// The configuration was read, or found unchanged within a wait.
+/// The result of `ReadCatalog` or `AwaitCatalog`.
 struct CatalogReceived {
   StoreOutcome outcome = StoreOutcome::kUnknown;
-  /// The configuration, if the answer holds one.
+  /// The configuration; not set if it did not change or could not be read.
   std::optional<Catalog> catalog;
-  /// Why a configuration that is there could not be read; empty if it could.
+  /// Why the stored configuration could not be decoded; empty if it could.
   std::string error;
-  /// Halls that are to be emptied (true), or are given back (false).
+  /// Halls to drain (true) or to use again (false).
   std::map<HallId, bool> halls;
-  /// Halls that are not named are not to be emptied; else they are as they
-  /// were.
+  /// True if `halls` is complete: halls missing from it are not drained. False
+  /// if `halls` holds only changes.
   bool lists_all_halls = false;
   Revision newest;
 };
 
-/// The list of runners, or what changed of it.
+/// The result of `ListRunners`: the list of runners, or changes of it.
 struct RunnersListed {
   bool ok = false;
-  /// Runners that are not named are not listed; else they are as they were.
+  /// True if `runners` is the full list; false if it holds only changes.
   bool snapshot = true;
-  /// The list as of this revision, at least.
+  /// The list includes all changes up to this revision.
   Revision newest;
   std::vector<RunnerInfo> runners;
-  /// With changes: runners whose entries are gone.
+  /// If not a snapshot: runners whose entries were removed.
   std::vector<RunnerId> removed;
-  /// Runners whose entries could not be read; they get no work.
+  /// Runners whose entries could not be decoded; they get no tasks.
   std::vector<RunnerId> unreadable;
 };
 
+/// A run in progress, as reported by its runner.
 struct ReportedRun {
   TaskName task;
   int run = 0;
@@ -92,7 +96,9 @@
   int percent = 0;
 };
 
+/// The end of a run, as reported by its runner.
 struct ReportedEnd {
+  /// Sequence number, by which the scheduler acknowledges the end.
   std::int64_t number = 0;
   TaskName task;
   int run = 0;
@@ -100,37 +106,38 @@
   std::string checkpoint;
 };
 
-/// What became of an order or a look at a runner.
+/// The outcome of an order to a runner or of a poll.
 enum class OrderOutcome {
   kDone,
-  /// The runner obeys a newer scheduler.
+  /// Rejected: the runner has seen a newer scheduler epoch.
   kFenced,
-  /// That run, or a newer one, was stopped or ended there.
+  /// Rejected: this run or a newer one was already stopped or ended there.
   kStaleRun,
-  /// Its lease was over when it came.
+  /// Rejected: the lease in the order had expired when the order arrived.
   kLeaseExpired,
   kNoCapacity,
-  /// The ticket of the advice does not hold.
+  /// Rejected: the advice service's ticket is missing or not valid.
   kInvalidTicket,
-  /// The order makes no sense to the runner.
+  /// Rejected: the order is malformed, or the reason given is unknown.
   kInvalid,
-  /// The runner is not well and did nothing.
+  /// The runner responded with another error and did nothing.
   kUnhealthy,
-  /// Another life of the runner answered.
+  /// Another incarnation of the runner responded.
   kOtherIncarnation,
-  /// No connection came about: surely nothing was done.
+  /// No connection could be opened, so the order was certainly not executed.
   kNotSent,
-  /// No answer: it may have been done, or may be done seconds later.
+  /// No response: the order may have been executed, or may be seconds later.
   kLost,
 };
 
 const char* ToString(OrderOutcome outcome);
 
+/// The result of `PollRunner`.
 struct RunnerPolled {
-  /// The life that was to be looked at.
+  /// The incarnation that the poll was meant for.
   IncarnationId asked;
   PollNumber number;
-  /// Tells which life of the runner answered.
+  /// Identifies the incarnation that responded.
   StartTime start_time;
   Epoch epoch;
   OrderOutcome outcome = OrderOutcome::kLost;
@@ -139,20 +146,23 @@
   std::vector<ReportedEnd> ended;
 };
 
-/// Answers to orders do not tell which life of the runner gave them.
+/// The result of `StartRun`. Responses to orders do not identify the
+/// incarnation that sent them.
 struct StartRunCompleted {
-  /// The life that the order was meant for.
+  /// The incarnation that the order was meant for.
   IncarnationId asked;
   Epoch epoch;
   TaskName task;
   int run = 0;
   OrderOutcome outcome = OrderOutcome::kLost;
   std::int64_t clock_ms = 0;
-  /// It was sent before without an answer, and that may still be carried out.
+  /// An earlier attempt got no response and may still be executed.
   bool earlier_attempt_pending = false;
 };
 
+/// The result of `StopRun`.
 struct StopRunCompleted {
+  /// The incarnation that the order was meant for.
   IncarnationId asked;
   Epoch epoch;
   TaskName task;
@@ -161,57 +171,58 @@
   std::int64_t clock_ms = 0;
 };
 
-/// On which of the runners that were asked about the step may run.
+/// The result of `RequestAdvice`.
 struct AdviceReceived {
   StepName step;
   bool ok = false;
   std::vector<IncarnationId> asked;
-  /// Tickets of those that may.
+  /// Tickets for the runners on which the step may run. Runners in `asked`
+  /// without a ticket must not run it.
   std::map<IncarnationId, std::string> tickets;
-  /// How long the tickets hold.
+  /// How long the tickets are valid.
   Duration valid;
 };
 
-/// What a peer tells of the store.
+/// The result of `QueryPeer`.
 struct PeerReplied {
   std::string address;
-  /// False if the peer itself does not answer.
+  /// False if the peer did not respond.
   bool answered = false;
-  /// The store answers that peer.
+  /// True if the peer can reach the store.
   bool store_answers = false;
-  /// How long ago it last did.
+  /// Time since the store last responded to the peer.
   Duration store_answer_age;
 };
 
-/// What a caller asks for.
+/// The kind of an API call.
 enum class CallKind { kSubmit, kQuery, kCancel, kOther };
 
-/// A caller's call, with its place still to be found in the catalog.
+/// An API call, not yet matched to a queue of the catalog.
 struct CallReceived {
   CallId call;
   CallKind kind = CallKind::kOther;
   std::string host;
   std::string path;
-  /// Key that the call carries; empty for none.
+  /// API key; empty if the call has none.
   std::string key;
-  /// With `kSubmit`: the payload, steps and recurrence.
+  /// For `kSubmit`: payload, steps and recurrence. The front end sets the rest.
   JobSpec spec;
-  /// What is wrong with the body; empty if nothing is.
+  /// Why the request body is invalid; empty if it is valid.
   std::string spec_error;
-  /// Time until the caller gives up.
+  /// Time until the caller stops waiting for the response.
   Duration deadline{3000};
 };
 
-/// The process was asked to end.
+/// The process was told to shut down.
 struct ShutdownRequested {};
 
-/// Somebody wants to see this process's state.
+/// The state of this process was requested for diagnostics.
 struct StateRequested {
   CallId call;
 };
 
-/// The process's settings were read again after a signal; what is used of them
-/// does not change while a process lives.
+/// The settings file was read again after a signal. The settings in use change
+/// only with a restart of the process.
 struct SettingsReloaded {};
 
 using EventBody =
@@ -221,8 +232,11 @@
                  PeerReplied, CallReceived, ShutdownRequested, SettingsReloaded,
                  StateRequested>;
 
+/// One input of the reducer, with the time at which it is processed.
 struct Event {
+  /// Monotonic time.
   TimePoint now;
+  /// Wall-clock time in Unix milliseconds.
   std::int64_t wall_ms = 0;
   EventBody body;
 };
