--- a/src/dispatch/front_end.h
+++ b/src/dispatch/front_end.h
@@ -55,7 +55,7 @@
   void Handle(Context& ctx, const ReadCompleted& answer, bool store_answers);
 
   /// Takes in why the store does not answer, as far as that is known.
-  void NoteStoreLoss(StoreOutage loss) { loss_ = loss; }
+  void SetStoreOutage(StoreOutage loss) { loss_ = loss; }
 
   bool idle() const { return calls_.empty(); }
 
--- a/src/dispatch/node.cc
+++ b/src/dispatch/node.cc
@@ -1,5 +1,5 @@
 /// @file
-/// One reducer over all events of a process.
+/// Dispatches events to the components of a node.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,17 +17,18 @@
 
 namespace {
 
-// A process that can not reach the store for this long sends callers to others.
-constexpr Duration kReadyGrace{1500};
+// A node that cannot reach the store for this long reports itself not ready, so
+// that the load balancer sends callers to other nodes.
+constexpr Duration kReadinessGrace{1500};
 
 }  // namespace
 
 Node::Node(NodeOptions options)
     : options_(std::move(options)),
-      leadership_(options_.leadership, options_.name, &patience_),
-      front_end_(options_.front_end, &patience_),
+      leadership_(options_.leadership, options_.name, &store_timeout_),
+      front_end_(options_.front_end, &store_timeout_),
       peers_(options_.peers, options_.instance, options_.peer_address,
-             &patience_),
+             &store_timeout_),
       catalog_(options_.catalog) {}
 
 Effects Node::Reduce(const Event& event) {
@@ -39,7 +40,7 @@
   Effects effects;
   last_event_at_ = now;
   Context ctx(now, wall_ms, &tickets_, &effects);
-  CheckStoodStill(ctx);
+  CheckForProcessPause(ctx);
   for (const EventBody& event : events) {
     std::visit([this, &ctx](const auto& body) { Handle(ctx, body); }, event);
   }
@@ -51,40 +52,41 @@
   }
   UpdateReady(ctx);
   peers_.Work(ctx, StoreAnswers());
-  front_end_.NoteStoreLoss(peers_.outage());
-  const bool lingers = ctx.now() - stop_asked_at_ < options_.linger;
+  front_end_.SetStoreOutage(peers_.outage());
+  const bool lingers = ctx.now() - shutdown_requested_at_ < options_.linger;
   const bool handed_over = scheduler_ == nullptr && front_end_.idle();
-  const bool must_go = ctx.now() - stop_asked_at_ >= options_.max_shutdown_time;
-  const bool done = stopping_ && !lingers && (handed_over || must_go);
+  const bool timed_out =
+      ctx.now() - shutdown_requested_at_ >= options_.max_shutdown_time;
+  const bool done = shutting_down_ && !lingers && (handed_over || timed_out);
   if (done && !exited_) {
     exited_ = true;
     ctx.Emit(Exit{});
   }
-  WatchStore(effects);
-  due_at_ = std::max(now, next_at());
+  RecordStoreRequests(effects);
+  next_event_due_at_ = std::max(now, next_at());
   return effects;
 }
 
-void Node::CheckStoodStill(Context& ctx) {
-  if (scheduler_ == nullptr || !due_at_.has_value()) return;
-  const Duration late = ctx.now() - *due_at_;
-  if (late >= options_.stood_still) scheduler_->HandleProcessPause(ctx, late);
+void Node::CheckForProcessPause(Context& ctx) {
+  if (scheduler_ == nullptr || !next_event_due_at_.has_value()) return;
+  const Duration late = ctx.now() - *next_event_due_at_;
+  if (late >= options_.max_pause) scheduler_->HandleProcessPause(ctx, late);
 }
 
-void Node::WatchStore(const Effects& effects) {
+void Node::RecordStoreRequests(const Effects& effects) {
   for (const Effect& effect : effects) {
     if (const auto* commit = std::get_if<CommitRows>(&effect)) {
-      patience_.Sent(commit->ticket, last_event_at_);
+      store_timeout_.Sent(commit->ticket, last_event_at_);
     } else if (const auto* read = std::get_if<ReadRows>(&effect)) {
-      patience_.Sent(read->ticket, last_event_at_);
+      store_timeout_.Sent(read->ticket, last_event_at_);
     }
   }
 }
 
-void Node::NoteStoreAnswer(Ticket ticket, StoreOutcome outcome) {
+void Node::RecordStoreResponse(Ticket ticket, StoreOutcome outcome) {
   const bool answered =
       outcome == StoreOutcome::kDone || outcome == StoreOutcome::kConflict;
-  patience_.Ended(ticket, last_event_at_, answered);
+  store_timeout_.Ended(ticket, last_event_at_, answered);
 }
 
 TimePoint Node::next_at() const {
@@ -95,25 +97,28 @@
     next = leadership_.next_at();
   }
   next = std::min({next, catalog_.next_at(), peers_.next_at()});
-  if (stopping_ && !exited_) {
-    const bool lingers = stop_asked_at_ + options_.linger > last_event_at_;
-    next =
-        std::min(next, stop_asked_at_ + (lingers ? options_.linger
-                                                 : options_.max_shutdown_time));
+  if (shutting_down_ && !exited_) {
+    const bool lingers =
+        shutdown_requested_at_ + options_.linger > last_event_at_;
+    next = std::min(
+        next, shutdown_requested_at_ +
+                  (lingers ? options_.linger : options_.max_shutdown_time));
   }
   return next;
 }
 
 bool Node::StoreAnswers() const {
-  const bool calls = scheduler_ != nullptr ? scheduler_->store_answers()
-                                           : leadership_.store_answers();
-  return calls;
+  const bool reachable = scheduler_ != nullptr ? scheduler_->store_answers()
+                                               : leadership_.store_answers();
+  return reachable;
 }
 
 void Node::UpdateReady(Context& ctx) {
-  const bool in_touch =
-      catalog_.answers() || ctx.now() - catalog_.confirmed_at() < kReadyGrace;
-  const bool ready = catalog_.catalog() != nullptr && !stopping_ && in_touch;
+  const bool catalog_current =
+      catalog_.answers() ||
+      ctx.now() - catalog_.confirmed_at() < kReadinessGrace;
+  const bool ready =
+      catalog_.catalog() != nullptr && !shutting_down_ && catalog_current;
   if (ready == ready_) return;
   ready_ = ready;
   ctx.Emit(SetReady{ready});
@@ -123,21 +128,21 @@
 void Node::Handle(Context&, const TimerFired&) {}
 
 void Node::Handle(Context& ctx, const CommitCompleted& event) {
-  NoteStoreAnswer(event.ticket, event.outcome);
+  RecordStoreResponse(event.ticket, event.outcome);
   if (front_end_.Owns(event.ticket)) {
     front_end_.Handle(ctx, event, StoreAnswers());
   } else if (scheduler_ != nullptr && scheduler_->Owns(event.ticket)) {
-    Obey(ctx, scheduler_->Handle(ctx, event));
+    CheckLease(ctx, scheduler_->Handle(ctx, event));
   } else if (scheduler_ == nullptr && leadership_.Owns(event.ticket)) {
     const auto claimed = leadership_.Handle(ctx, event);
-    if (claimed.has_value()) Lead(ctx, *claimed);
+    if (claimed.has_value()) BecomeLeader(ctx, *claimed);
   } else if (peers_.Owns(event.ticket)) {
     peers_.Handle(ctx, event);
   }
 }
 
 void Node::Handle(Context& ctx, const ReadCompleted& event) {
-  NoteStoreAnswer(event.ticket, event.outcome);
+  RecordStoreResponse(event.ticket, event.outcome);
   if (front_end_.Owns(event.ticket)) {
     front_end_.Handle(ctx, event, StoreAnswers());
   } else if (scheduler_ != nullptr && scheduler_->Owns(event.ticket)) {
@@ -168,15 +173,15 @@
 }
 
 void Node::Handle(Context& ctx, const RunnerPolled& event) {
-  if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
+  if (scheduler_ != nullptr) CheckLease(ctx, scheduler_->Handle(ctx, event));
 }
 
 void Node::Handle(Context& ctx, const StartRunCompleted& event) {
-  if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
+  if (scheduler_ != nullptr) CheckLease(ctx, scheduler_->Handle(ctx, event));
 }
 
 void Node::Handle(Context& ctx, const StopRunCompleted& event) {
-  if (scheduler_ != nullptr) Obey(ctx, scheduler_->Handle(ctx, event));
+  if (scheduler_ != nullptr) CheckLease(ctx, scheduler_->Handle(ctx, event));
 }
 
 void Node::Handle(Context& ctx, const AdviceReceived& event) {
@@ -193,9 +198,9 @@
 }
 
 void Node::Handle(Context& ctx, const ShutdownRequested&) {
-  if (stopping_) return;
-  stopping_ = true;
-  stop_asked_at_ = ctx.now();
+  if (shutting_down_) return;
+  shutting_down_ = true;
+  shutdown_requested_at_ = ctx.now();
   leadership_.Retire();
   ctx.Log(LogId::kStopAsked, {{"leads", leads() ? "yes" : "no"}});
   if (scheduler_ != nullptr) scheduler_->Release();
@@ -210,7 +215,7 @@
   json["name"] = options_.name;
   json["leads"] = leads();
   json["ready"] = ready_;
-  json["stopping"] = stopping_;
+  json["stopping"] = shutting_down_;
   json["store_answers"] = StoreAnswers();
   json["store_lost"] = ToString(peers_.outage());
   const Catalog* catalog = catalog_.catalog();
@@ -223,15 +228,15 @@
   ctx.Emit(RespondWithState{event.call, WriteJson(json)});
 }
 
-void Node::Lead(Context& ctx, const Leadership::Claimed& claimed) {
+void Node::BecomeLeader(Context& ctx, const Leadership::Claimed& claimed) {
   scheduler_ = std::make_unique<Scheduler>(options_.scheduler, claimed,
-                                           &patience_, claimed.sent_at);
-  // The claim's answer may have waited for a process that stood still.
+                                           &store_timeout_, claimed.sent_at);
+  // The process may have been paused while the response to the claim waited.
   const Duration late = ctx.now() - claimed.sent_at;
-  if (late >= options_.stood_still) scheduler_->HandleProcessPause(ctx, late);
+  if (late >= options_.max_pause) scheduler_->HandleProcessPause(ctx, late);
   ctx.Log(LogId::kLeaderClaimed,
           {{"epoch", std::to_string(claimed.record.epoch.value())}});
-  if (stopping_) scheduler_->Release();
+  if (shutting_down_) scheduler_->Release();
 }
 
 void Node::StepDown(Context& ctx, const char* reason) {
@@ -242,8 +247,8 @@
   leadership_.Reset(ctx.now());
 }
 
-void Node::Obey(Context& ctx, Scheduler::LeaseStatus verdict) {
-  switch (verdict) {
+void Node::CheckLease(Context& ctx, Scheduler::LeaseStatus status) {
+  switch (status) {
     case Scheduler::LeaseStatus::kHeld:
       return;
     case Scheduler::LeaseStatus::kDeposed:
--- a/src/dispatch/node.h
+++ b/src/dispatch/node.h
@@ -1,6 +1,6 @@
 /// @file
-/// The reducer of one process: callers' desk, leadership, and the scheduler
-/// while this process leads.
+/// The reducer of one process: the front end, leader election, and the
+/// scheduler while this process is the leader.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -25,29 +25,32 @@
 namespace limeledge::dispatch {
 
 struct NodeOptions {
-  /// Names this life of the process.
+  /// Identifies this incarnation of the process.
   std::string name;
   LeadershipOptions leadership;
   SchedulerOptions scheduler;
   FrontEndOptions front_end;
   CatalogWatcherOptions catalog;
   PeerCheckOptions peers;
-  /// Callers are served for this long after a stop was asked for: until the
-  /// balancer has noticed, and well before the process is killed.
+  /// How long callers are still served after a shutdown request: long enough
+  /// for the load balancer to notice, and well before the process is killed.
   Duration linger{3000};
-  /// A process that comes to its work so much later than it asked for stood
-  /// still, or its machine was suspended: half of the lease on scheduling.
-  Duration stood_still{1000};
-  /// The process ends after this even if the store takes no hand-over; less
-  /// than the time after which it is killed.
+  /// An event that comes this much later than requested shows that the process
+  /// was paused or its machine suspended. Shorter than the scheduler lease,
+  /// which another node may take over during a longer pause.
+  Duration max_pause{1000};
+  /// The process ends this long after a shutdown request even if the store did
+  /// not accept the release of the lease. Shorter than the time after which the
+  /// process is killed.
   Duration max_shutdown_time{5000};
-  /// Names the instance, whichever process lives on it.
+  /// Identifies the instance, across all incarnations of its process.
   std::string instance;
-  /// Where this node answers its peers; empty for nowhere.
+  /// HOST:PORT at which peers reach this node; empty for none.
   std::string peer_address;
 };
 
-/// Reduces events to effects. Deterministic: time comes with the event.
+/// Reduces events to effects. Deterministic: the only clock is the time in the
+/// events.
 ///
 ///     Node node(options);
 ///     for (Effect& effect : node.Reduce(event)) Perform(effect);
@@ -58,24 +61,24 @@
  public:
   explicit Node(NodeOptions options);
 
-  /// Takes an event in and returns what is to be done. `event.now` never goes
-  /// back.
+  /// Processes an event and returns its effects. `event.now` must not decrease
+  /// from one call to the next.
   Effects Reduce(const Event& event);
-  /// Takes events in that came together, in their order, and only then does
-  /// what is due: a scheduler of a thousand runners gets hundreds of answers
-  /// while it works on one.
+  /// Processes a batch of events in order, then does the due work once. With a
+  /// thousand runners, hundreds of responses arrive while one is processed.
   Effects ReduceAll(TimePoint now, std::int64_t wall_ms,
                     const std::vector<EventBody>& events);
-  /// A `TimerFired` event is wanted at this moment, if nothing comes before.
+  /// When the next `TimerFired` event is needed, unless another event comes
+  /// first.
   TimePoint next_at() const;
 
   bool leads() const { return scheduler_ != nullptr; }
-  /// False while the store counts as lost to this node.
+  /// False while this node considers the store unavailable.
   bool StoreAnswers() const;
-  /// Why the store does not answer this node, as far as that is known.
+  /// Whether a store outage affects only this node, as far as peers could tell.
   StoreOutage store_loss() const { return peers_.outage(); }
-  /// When the store last answered a call of this node.
-  TimePoint store_answered_at() const { return patience_.answered_at(); }
+  /// When the store last responded to this node.
+  TimePoint store_answered_at() const { return store_timeout_.answered_at(); }
 
  private:
   void Handle(Context& ctx, const TimerFired& event);
@@ -94,31 +97,33 @@
   void Handle(Context& ctx, const SettingsReloaded& event);
   void Handle(Context& ctx, const StateRequested& event);
 
-  void Lead(Context& ctx, const Leadership::Claimed& claimed);
+  void BecomeLeader(Context& ctx, const Leadership::Claimed& claimed);
   void StepDown(Context& ctx, const char* reason);
-  void Obey(Context& ctx, Scheduler::LeaseStatus verdict);
-  /// Tells the scheduler if this process comes late to its work.
-  void CheckStoodStill(Context& ctx);
+  /// Steps down unless this node still holds the scheduler lease.
+  void CheckLease(Context& ctx, Scheduler::LeaseStatus status);
+  /// Notifies the scheduler if this process was paused.
+  void CheckForProcessPause(Context& ctx);
+  /// Sets the readiness and logs changes of it.
   void UpdateReady(Context& ctx);
 
-  /// Notes calls to the store as they are sent, and as they end.
-  void WatchStore(const Effects& effects);
-  void NoteStoreAnswer(Ticket ticket, StoreOutcome outcome);
+  /// Record requests to the store and their responses, for `store_timeout_`.
+  void RecordStoreRequests(const Effects& effects);
+  void RecordStoreResponse(Ticket ticket, StoreOutcome outcome);
 
   NodeOptions options_;
   Ticket tickets_;
-  StoreTimeout patience_;
+  StoreTimeout store_timeout_;
   Leadership leadership_;
   FrontEnd front_end_;
   PeerCheck peers_;
   std::unique_ptr<Scheduler> scheduler_;
   CatalogWatcher catalog_;
   bool ready_ = false;
-  bool stopping_ = false;
-  TimePoint stop_asked_at_;
+  bool shutting_down_ = false;
+  TimePoint shutdown_requested_at_;
   TimePoint last_event_at_;
-  /// When the next event is due at the latest.
-  std::optional<TimePoint> due_at_;
+  /// The `next_at()` of the last call; an event later than this shows a pause.
+  std::optional<TimePoint> next_event_due_at_;
   bool exited_ = false;
 };
 
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -92,11 +92,11 @@
 }
 
 TEST(FrontEnd, CallerThatAnotherNodeWouldServeIsToldToComeBackAtOnce) {
-  front_end.NoteStoreLoss(StoreOutage::kLocal);
+  front_end.SetStoreOutage(StoreOutage::kLocal);
   Begin(CallKind::kSubmit, false);
   CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
   LONGS_EQUAL(0, Newest<RespondToCall>()->retry_after.value().ms());
-  front_end.NoteStoreLoss(StoreOutage::kGlobal);
+  front_end.SetStoreOutage(StoreOutage::kGlobal);
   Begin(CallKind::kSubmit, false);
   LONGS_EQUAL(FrontEndOptions().retry_after.ms(),
               Newest<RespondToCall>()->retry_after.value().ms());
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -16,7 +16,7 @@
   static NodeOptions Options() {
     NodeOptions options;
     options.name = "e1/1";
-    options.stood_still = Duration(5000);
+    options.max_pause = Duration(5000);
     return options;
   }
 
