--- a/src/dispatch/front_end.cc
+++ b/src/dispatch/front_end.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Submitting, asking for and cancelling jobs.
+/// Submits, queries and cancels jobs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -64,12 +64,12 @@
   return "";
 }
 
-/// True if both rows hold the same job, whenever it was handed in.
+/// True if both rows hold the same job, regardless of when it was submitted.
 bool SameJob(const std::string& a, const std::string& b) {
   absl::StatusOr<JobSpec> first = DecodeJobSpec(a);
   absl::StatusOr<JobSpec> second = DecodeJobSpec(b);
   if (!first.ok() || !second.ok()) return false;
-  // The queue's policy and the time are not the caller's.
+  // The policy and the time are set by the server, not by the caller.
   first->policy = second->policy;
   first->accepted_wall_ms = second->accepted_wall_ms;
   return EncodeJobSpec(*first) == EncodeJobSpec(*second);
@@ -77,10 +77,10 @@
 
 }  // namespace
 
-void FrontEnd::Answer(Context& ctx, const CallReceived& call, CallResult result,
-                      const std::string& message, const std::string& state,
-                      std::int64_t waiting) {
-  const bool later =
+void FrontEnd::Respond(Context& ctx, const CallReceived& call,
+                       CallResult result, const std::string& message,
+                       const std::string& state, std::int64_t waiting) {
+  const bool should_retry =
       result == CallResult::kNotAccepted || result == CallResult::kUnknown;
   ctx.Log(LogId::kCallAnswered, {{"call", ToString(call.kind)},
                                  {"path", call.path},
@@ -89,72 +89,78 @@
                                  {"reason", message}});
   RespondToCall answer{call.call, result,  state,
                        waiting,   message, std::nullopt};
-  if (later) answer.retry_after = TimeToComeBack();
+  if (should_retry) answer.retry_after = RetryAfter();
   ctx.Emit(std::move(answer));
 }
 
-Duration FrontEnd::TimeToComeBack() const {
-  // Their next try reaches another node, and urgent work has a second or so to
-  // lose. A store that serves nobody would see them use up their tries.
-  const bool others_serve = loss_ == StoreOutage::kLocal;
-  return others_serve ? Duration(0) : options_.retry_after;
+Duration FrontEnd::RetryAfter() const {
+  // If other nodes reach the store, the next attempt will succeed there, and
+  // urgent work can ill afford to wait a second. During a global outage callers
+  // would only use up their retries.
+  const bool others_reach_store = outage_ == StoreOutage::kLocal;
+  return others_reach_store ? Duration(0) : options_.retry_after;
 }
 
 const Queue* FrontEnd::FindQueue(Context& ctx, const CallReceived& call,
                                  const Catalog& catalog, bool fresh,
                                  WorkspaceId* workspace) {
   const Queue* queue = catalog.Match(call.host, call.path);
-  const auto known = catalog.workspace_by_key.find(call.key);
-  const bool has_key = known != catalog.workspace_by_key.end();
-  if (has_key) *workspace = known->second;
+  const auto workspace_of_key = catalog.workspace_by_key.find(call.key);
+  const bool has_key = workspace_of_key != catalog.workspace_by_key.end();
+  if (has_key) *workspace = workspace_of_key->second;
   const bool refused = queue == nullptr || (!queue->is_public && !has_key);
   if (!refused) return queue;
   if (!fresh) {
-    Answer(ctx, call, CallResult::kNotAccepted, "the configuration may be old");
+    Respond(ctx, call, CallResult::kNotAccepted,
+            "the configuration may be old");
   } else if (queue == nullptr) {
-    Answer(ctx, call, CallResult::kUnknownQueue, "no such queue");
+    Respond(ctx, call, CallResult::kUnknownQueue,
+            "no queue matches this host and path");
   } else {
-    Answer(ctx, call, CallResult::kUnknownKey, "the key is not known");
+    Respond(ctx, call, CallResult::kUnknownKey, "unknown API key");
   }
   return nullptr;
 }
 
 void FrontEnd::Handle(Context& ctx, const CallReceived& call,
-                      const Catalog* catalog, TimePoint catalog_confirmed,
+                      const Catalog* catalog, TimePoint catalog_confirmed_at,
                       bool store_answers) {
   if (catalog == nullptr) {
-    Answer(ctx, call, CallResult::kNotAccepted, "no configuration yet");
+    Respond(ctx, call, CallResult::kNotAccepted, "no configuration yet");
     return;
   }
-  const bool fresh = ctx.now() - catalog_confirmed < options_.catalog_fresh;
+  const bool fresh =
+      ctx.now() - catalog_confirmed_at < options_.max_catalog_age;
   WorkspaceId workspace;
   const Queue* queue = FindQueue(ctx, call, *catalog, fresh, &workspace);
   if (queue == nullptr) return;
   const JobId id(call.path.substr(queue->path_prefix.size()));
   const bool counts = call.kind == CallKind::kQuery && id.empty();
   if (call.kind == CallKind::kOther || (!counts && !IsJobId(id.value()))) {
-    Answer(ctx, call, CallResult::kInvalid, "not a call on a job");
+    Respond(ctx, call, CallResult::kInvalid,
+            "unsupported method, or the path does not end in a job id of 16 "
+            "lowercase hexadecimal digits");
     return;
   }
   if (!store_answers) {
-    // Nothing was sent, so the refusal is certain.
-    Answer(ctx, call, CallResult::kNotAccepted, "the store does not answer");
+    // No request was sent, so the call certainly had no effect.
+    Respond(ctx, call, CallResult::kNotAccepted, "the store does not answer");
     return;
   }
   if (call.kind != CallKind::kSubmit) {
-    BeginRead(ctx, call, *queue, id);
+    StartRead(ctx, call, *queue, id);
   } else if (!call.spec_error.empty()) {
-    Answer(ctx, call, CallResult::kInvalid, call.spec_error);
+    Respond(ctx, call, CallResult::kInvalid, call.spec_error);
   } else {
     Submit(ctx, call, *queue, workspace, id);
   }
 }
 
-void FrontEnd::BeginRead(Context& ctx, const CallReceived& call,
+void FrontEnd::StartRead(Context& ctx, const CallReceived& call,
                          const Queue& queue, const JobId& id) {
   Pending pending;
   pending.call = call;
-  pending.due = ctx.now() + call.deadline;
+  pending.deadline = ctx.now() + call.deadline;
   pending.queue = queue.id;
   pending.job = id;
   if (call.kind == CallKind::kCancel) {
@@ -176,35 +182,35 @@
   spec.accepted_wall_ms = ctx.wall_ms();
   Pending pending;
   pending.call = call;
-  pending.due = ctx.now() + call.deadline;
+  pending.deadline = ctx.now() + call.deadline;
   pending.job = id;
   pending.queue = queue.id;
   pending.workspace = workspace;
   pending.stage = Stage::kSubmit;
-  pending.stored_spec = EncodeJobSpec(spec);
+  pending.encoded_spec = EncodeJobSpec(spec);
   const RowKey key{kJobTable, id.value()};
   pending.transaction.partition = JobPartition(id.value());
   pending.transaction.conditions.push_back({key, Revision()});
-  pending.transaction.puts.push_back({key, pending.stored_spec});
-  Send(ctx, std::move(pending));
+  pending.transaction.puts.push_back({key, pending.encoded_spec});
+  SendCommit(ctx, std::move(pending));
 }
 
-bool FrontEnd::MayResend(TimePoint now, const Pending& pending,
-                         bool store_answers) const {
-  if (!store_answers && pending.misses + 1 >= kMaxUnanswered) return false;
-  if (pending.misses + 1 >= options_.most_tries) return false;
-  return pending.due - now >= options_.least_try;
+bool FrontEnd::CanRetry(TimePoint now, const Pending& pending,
+                        bool store_answers) const {
+  if (!store_answers && pending.unanswered + 1 >= kMaxUnanswered) return false;
+  if (pending.unanswered + 1 >= options_.max_attempts) return false;
+  return pending.deadline - now >= options_.min_attempt_time;
 }
 
-Duration FrontEnd::BoundOf(TimePoint now, const Pending& pending) const {
-  return std::min(patience_->For(pending.misses),
-                  std::max(pending.due - now, options_.least_try));
+Duration FrontEnd::AttemptTimeout(TimePoint now, const Pending& pending) const {
+  return std::min(store_timeout_->For(pending.unanswered),
+                  std::max(pending.deadline - now, options_.min_attempt_time));
 }
 
-void FrontEnd::Send(Context& ctx, Pending pending) {
+void FrontEnd::SendCommit(Context& ctx, Pending pending) {
   const Ticket ticket = ctx.NewTicket();
   ctx.Emit(CommitRows{ticket, StoreLane::kCallers, pending.transaction,
-                      BoundOf(ctx.now(), pending)});
+                      AttemptTimeout(ctx.now(), pending)});
   calls_[ticket] = std::move(pending);
 }
 
@@ -219,18 +225,19 @@
     if (job) read.partition = JobPartition(pending.job.value());
     read.from = pending.job.value();
   }
-  // The job and its cancelling: keys go on with a sign below '/'.
+  // Covers the row and its derived rows, such as the cancel marker: their
+  // suffixes start with a character below '/'.
   read.to = absl::StrCat(read.from, "/");
   read.limit = 2;
   pending.stage = stage;
   pending.read = std::move(read);
-  pending.misses = 0;
+  pending.unanswered = 0;
   SendRead(ctx, std::move(pending));
 }
 
 void FrontEnd::SendRead(Context& ctx, Pending pending) {
   pending.read.ticket = ctx.NewTicket();
-  pending.read.timeout = BoundOf(ctx.now(), pending);
+  pending.read.timeout = AttemptTimeout(ctx.now(), pending);
   ctx.Emit(pending.read);
   calls_[pending.read.ticket] = std::move(pending);
 }
@@ -244,31 +251,34 @@
     if (submit) {
       Accept(ctx, pending, "");
     } else {
-      Answer(ctx, pending.call, CallResult::kDone);
+      Respond(ctx, pending.call, CallResult::kDone);
     }
     return;
   }
   if (answer.outcome == StoreOutcome::kConflict) {
     if (submit) {
-      TakeSubmit(ctx, pending, answer);
+      HandleSubmitConflict(ctx, pending, answer);
     } else {
-      // The job was cleared away meanwhile.
-      Answer(ctx, pending.call, CallResult::kUnknownJob);
+      // The job row was removed after it was read.
+      Respond(ctx, pending.call, CallResult::kUnknownJob);
     }
     return;
   }
   const bool unknown = answer.outcome == StoreOutcome::kUnknown;
-  pending.unsettled = pending.unsettled || unknown;
-  if (unknown && MayResend(ctx.now(), pending, store_answers)) {
-    // The condition makes a further sending harmless, and settles the first.
-    ++pending.misses;
-    Send(ctx, std::move(pending));
+  pending.may_be_applied = pending.may_be_applied || unknown;
+  if (unknown && CanRetry(ctx.now(), pending, store_answers)) {
+    // The conditions make the retry idempotent, and its response tells whether
+    // an earlier attempt was applied.
+    ++pending.unanswered;
+    SendCommit(ctx, std::move(pending));
     return;
   }
-  Answer(ctx, pending.call,
-         pending.unsettled ? CallResult::kUnknown : CallResult::kNotAccepted,
-         pending.unsettled ? "the store's answer was lost"
-                           : "the store took nothing");
+  Respond(
+      ctx, pending.call,
+      pending.may_be_applied ? CallResult::kUnknown : CallResult::kNotAccepted,
+      pending.may_be_applied
+          ? "no response from the store; the call may have been accepted"
+          : "the store took nothing");
 }
 
 void FrontEnd::Accept(Context& ctx, const Pending& pending,
@@ -276,55 +286,55 @@
   ctx.Log(LogId::kJobAccepted, {{"job", pending.job.value()},
                                 {"queue", pending.queue.value()},
                                 {"workspace", pending.workspace.value()}});
-  Answer(ctx, pending.call, CallResult::kDone, message);
+  Respond(ctx, pending.call, CallResult::kDone, message);
 }
 
-void FrontEnd::TakeSubmit(Context& ctx, const Pending& pending,
-                          const CommitCompleted& answer) {
+void FrontEnd::HandleSubmitConflict(Context& ctx, const Pending& pending,
+                                    const CommitCompleted& answer) {
   for (const Row& row : answer.rows) {
     if (row.key.key != pending.job.value()) continue;
-    if (SameJob(row.value, pending.stored_spec)) {
-      Accept(ctx, pending, "known already");
+    if (SameJob(row.value, pending.encoded_spec)) {
+      Accept(ctx, pending, "the job was submitted before");
     } else {
-      Answer(ctx, pending.call, CallResult::kConflict,
-             "another job has this id");
+      Respond(ctx, pending.call, CallResult::kConflict,
+              "the id belongs to another job");
     }
     return;
   }
-  Answer(ctx, pending.call, CallResult::kUnknown,
-         "the job's row is unreadable");
+  Respond(ctx, pending.call, CallResult::kUnknown,
+          "the store reported a conflict without the job's row");
 }
 
 void FrontEnd::Handle(Context& ctx, const ReadCompleted& answer,
                       bool store_answers) {
   auto entry = calls_.extract(answer.ticket);
   Pending pending = std::move(entry.mapped());
-  const bool lost = answer.outcome == StoreOutcome::kUnknown;
-  if (lost && MayResend(ctx.now(), pending, store_answers)) {
-    ++pending.misses;
+  const bool no_response = answer.outcome == StoreOutcome::kUnknown;
+  if (no_response && CanRetry(ctx.now(), pending, store_answers)) {
+    ++pending.unanswered;
     SendRead(ctx, std::move(pending));
     return;
   }
   if (answer.outcome != StoreOutcome::kDone) {
-    Answer(ctx, pending.call, CallResult::kNotAccepted,
-           "the store does not answer");
+    Respond(ctx, pending.call, CallResult::kNotAccepted,
+            "the store does not answer");
     return;
   }
   switch (pending.stage) {
     case Stage::kReadProgress:
-      TakeProgress(ctx, std::move(pending), answer);
+      HandleProgress(ctx, std::move(pending), answer);
       return;
     case Stage::kReadJob:
-      TakeJob(ctx, std::move(pending), answer);
+      HandleJob(ctx, std::move(pending), answer);
       return;
     default:
-      TakeCount(ctx, pending, answer);
+      HandleCount(ctx, pending, answer);
       return;
   }
 }
 
-void FrontEnd::TakeProgress(Context& ctx, Pending pending,
-                            const ReadCompleted& answer) {
+void FrontEnd::HandleProgress(Context& ctx, Pending pending,
+                              const ReadCompleted& answer) {
   if (answer.rows.empty()) {
     Read(ctx, std::move(pending), Stage::kReadJob);
     return;
@@ -332,52 +342,55 @@
   const absl::StatusOr<JobState> state =
       DecodeProgressState(answer.rows.front().value);
   if (!state.ok()) {
-    Answer(ctx, pending.call, CallResult::kNotAccepted, "unreadable progress");
+    Respond(ctx, pending.call, CallResult::kNotAccepted,
+            "cannot decode the job's progress");
     return;
   }
-  Answer(ctx, pending.call, CallResult::kDone, "", ToString(*state));
+  Respond(ctx, pending.call, CallResult::kDone, "", ToString(*state));
 }
 
-void FrontEnd::TakeJob(Context& ctx, Pending pending,
-                       const ReadCompleted& answer) {
+void FrontEnd::HandleJob(Context& ctx, Pending pending,
+                         const ReadCompleted& answer) {
   if (answer.rows.empty()) {
-    Answer(ctx, pending.call, CallResult::kUnknownJob);
+    Respond(ctx, pending.call, CallResult::kUnknownJob);
     return;
   }
   const bool cancelled = answer.rows.size() > 1;
   if (pending.call.kind == CallKind::kQuery) {
     const JobState state = cancelled ? JobState::kCancelled : JobState::kQueued;
-    Answer(ctx, pending.call, CallResult::kDone, "", ToString(state));
+    Respond(ctx, pending.call, CallResult::kDone, "", ToString(state));
     return;
   }
   if (cancelled) {
-    Answer(ctx, pending.call, CallResult::kDone, "cancelled already");
+    Respond(ctx, pending.call, CallResult::kDone,
+            "the job was cancelled before");
     return;
   }
   pending.stage = Stage::kCancel;
-  pending.misses = 0;
+  pending.unanswered = 0;
   const Row& job = answer.rows.front();
   pending.transaction.partition = JobPartition(pending.job.value());
   pending.transaction.conditions.push_back({job.key, job.revision});
   pending.transaction.puts.push_back(
       {{kJobTable, absl::StrCat(pending.job.value(), kCancelSuffix)}, "{}"});
-  Send(ctx, std::move(pending));
+  SendCommit(ctx, std::move(pending));
 }
 
-void FrontEnd::TakeCount(Context& ctx, const Pending& pending,
-                         const ReadCompleted& answer) {
+void FrontEnd::HandleCount(Context& ctx, const Pending& pending,
+                           const ReadCompleted& answer) {
   std::int64_t waiting = 0;
   if (!answer.rows.empty()) {
     const absl::StatusOr<WaitingCounts> counts =
         DecodeWaiting(answer.rows.front().value);
     if (!counts.ok()) {
-      Answer(ctx, pending.call, CallResult::kNotAccepted, "unreadable counts");
+      Respond(ctx, pending.call, CallResult::kNotAccepted,
+              "cannot decode the numbers of waiting jobs");
       return;
     }
     const auto found = counts->find(pending.queue);
     if (found != counts->end()) waiting = found->second;
   }
-  Answer(ctx, pending.call, CallResult::kDone, "", "", waiting);
+  Respond(ctx, pending.call, CallResult::kDone, "", "", waiting);
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/front_end.h
+++ b/src/dispatch/front_end.h
@@ -1,5 +1,5 @@
 /// @file
-/// Answers callers from the store: every node does, whoever schedules.
+/// Serves API calls from the store. Every node does, leader or not.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,109 +17,122 @@
 
 namespace limeledge::dispatch {
 
-/// Bounds on a caller's call.
+/// Limits on the handling of an API call.
 struct FrontEndOptions {
-  /// A call without an answer is sent again while this much is left of the
-  /// caller's time: the store's usual answer, many times over.
-  Duration least_try{100};
-  /// And not more often than this in all: where connections are reset, sendings
-  /// end at once.
-  int most_tries = 4;
-  /// Callers that were not served are told to come back after this, unless
-  /// another node would serve them at once.
+  /// A store request without a response is retried only if at least this much
+  /// time remains before the caller's deadline: many times the usual latency of
+  /// the store.
+  Duration min_attempt_time{100};
+  /// Maximum number of attempts. The deadline alone is not enough: attempts
+  /// fail immediately while connections are reset.
+  int max_attempts = 4;
+  /// The `Retry-After` of calls that were not served, unless another node can
+  /// serve them immediately.
   Duration retry_after{1000};
-  /// A configuration that was not confirmed for so long can not be the ground
-  /// for a refusal. Longer than the wait of a call that follows it.
-  Duration catalog_fresh{3500};
+  /// A catalog that was not confirmed for this long may be outdated: calls that
+  /// it does not allow are told to retry instead of being rejected. Longer than
+  /// the long poll that watches the catalog.
+  Duration max_catalog_age{3500};
 };
 
-/// The calls that wait for the store.
+/// Handles API calls, and keeps those that wait for the store.
 ///
 /// Thread safety: none; use it from one thread.
 class FrontEnd {
  public:
-  /// `patience` outlives this object.
-  FrontEnd(FrontEndOptions options, const StoreTimeout* patience)
-      : options_(options), patience_(patience) {}
+  /// `store_timeout` must outlive this object.
+  FrontEnd(FrontEndOptions options, const StoreTimeout* store_timeout)
+      : options_(options), store_timeout_(store_timeout) {}
 
-  /// Begins a call, or answers it at once. `store_answers`: false when the
-  /// newest call of this node to the store failed.
+  /// Starts a call or responds to it immediately. `store_answers` is false if
+  /// this node considers the store unavailable.
   void Handle(Context& ctx, const CallReceived& call, const Catalog* catalog,
-              TimePoint catalog_confirmed, bool store_answers);
+              TimePoint catalog_confirmed_at, bool store_answers);
 
+  /// True if the store request belongs to a call of this front end.
   bool Owns(Ticket ticket) const { return calls_.count(ticket) != 0; }
-  /// `store_answers` as above: a call that was sent twice without an answer
-  /// goes on only while others are answered. Callers that were held to the end
-  /// of their time by a store that is away could not come back any more.
+  /// Continue the call that a store response belongs to. While the store is
+  /// unavailable (`store_answers` is false), a call is given up after two
+  /// attempts without a response: a caller that waits until its deadline has no
+  /// time left to retry elsewhere.
   void Handle(Context& ctx, const CommitCompleted& answer, bool store_answers);
   void Handle(Context& ctx, const ReadCompleted& answer, bool store_answers);
 
-  /// Takes in why the store does not answer, as far as that is known.
-  void SetStoreOutage(StoreOutage loss) { loss_ = loss; }
+  /// Sets whether a store outage affects only this node.
+  void SetStoreOutage(StoreOutage outage) { outage_ = outage; }
 
+  /// True if no call is pending.
   bool idle() const { return calls_.empty(); }
 
  private:
+  /// The store request that a call waits for.
   enum class Stage {
     kSubmit,
-    /// Progress is read, for a query.
+    /// Reads the progress row, for a query.
     kReadProgress,
-    /// The job is read, for a query or before a cancel.
+    /// Reads the job row, for a query or before a cancel.
     kReadJob,
     kCancel,
+    /// Reads the numbers of waiting jobs.
     kCount,
   };
+  /// A call that waits for the store.
   struct Pending {
     CallReceived call;
     Stage stage = Stage::kSubmit;
     JobId job;
     QueueId queue;
     WorkspaceId workspace;
-    std::string stored_spec;
+    /// The encoded job of a submit.
+    std::string encoded_spec;
     RowTransaction transaction;
-    /// What is read; sent again when its answer is lost.
+    /// The current read request, kept for retries.
     ReadRows read;
-    /// When the caller has to be answered.
-    TimePoint due;
-    /// Sendings of the present write or reading that were not answered.
-    int misses = 0;
-    /// A try of the write may have been done.
-    bool unsettled = false;
+    /// When the caller stops waiting.
+    TimePoint deadline;
+    /// Attempts of the current read or commit that got no response.
+    int unanswered = 0;
+    /// An attempt of the commit may have been applied.
+    bool may_be_applied = false;
   };
 
-  /// When callers that were not served are to come back.
-  Duration TimeToComeBack() const;
+  /// The delay after which callers that were not served should retry.
+  Duration RetryAfter() const;
+  /// Returns the queue of the call and sets the workspace of its key. Responds
+  /// to the call and returns null if the catalog does not allow it.
   const Queue* FindQueue(Context& ctx, const CallReceived& call,
                          const Catalog& catalog, bool fresh,
                          WorkspaceId* workspace);
-  /// Begins a query, a count or a cancel.
-  void BeginRead(Context& ctx, const CallReceived& call, const Queue& queue,
+  /// Starts a query, a count or a cancel.
+  void StartRead(Context& ctx, const CallReceived& call, const Queue& queue,
                  const JobId& id);
   void Submit(Context& ctx, const CallReceived& call, const Queue& queue,
               const WorkspaceId& workspace, const JobId& id);
-  void Send(Context& ctx, Pending pending);
+  void SendCommit(Context& ctx, Pending pending);
+  /// Starts the read of a stage.
   void Read(Context& ctx, Pending pending, Stage stage);
   void SendRead(Context& ctx, Pending pending);
-  /// True if there is time for a further sending.
-  bool MayResend(TimePoint now, const Pending& pending,
-                 bool store_answers) const;
-  /// How long the next sending may take.
-  Duration BoundOf(TimePoint now, const Pending& pending) const;
-  void TakeSubmit(Context& ctx, const Pending& pending,
-                  const CommitCompleted& answer);
-  /// Notes whose a stored job is, and answers its submit.
+  /// True if another attempt is allowed and in time.
+  bool CanRetry(TimePoint now, const Pending& pending,
+                bool store_answers) const;
+  /// Timeout of the next attempt.
+  Duration AttemptTimeout(TimePoint now, const Pending& pending) const;
+  void HandleSubmitConflict(Context& ctx, const Pending& pending,
+                            const CommitCompleted& answer);
+  /// Logs that the job was accepted, and responds to its submit.
   void Accept(Context& ctx, const Pending& pending, const std::string& message);
-  void TakeProgress(Context& ctx, Pending pending, const ReadCompleted& answer);
-  void TakeJob(Context& ctx, Pending pending, const ReadCompleted& answer);
-  void TakeCount(Context& ctx, const Pending& pending,
-                 const ReadCompleted& answer);
-  void Answer(Context& ctx, const CallReceived& call, CallResult result,
-              const std::string& message = "", const std::string& state = "",
-              std::int64_t waiting = -1);
+  void HandleProgress(Context& ctx, Pending pending,
+                      const ReadCompleted& answer);
+  void HandleJob(Context& ctx, Pending pending, const ReadCompleted& answer);
+  void HandleCount(Context& ctx, const Pending& pending,
+                   const ReadCompleted& answer);
+  void Respond(Context& ctx, const CallReceived& call, CallResult result,
+               const std::string& message = "", const std::string& state = "",
+               std::int64_t waiting = -1);
 
   FrontEndOptions options_;
-  const StoreTimeout* patience_;
-  StoreOutage loss_ = StoreOutage::kUnknown;
+  const StoreTimeout* store_timeout_;
+  StoreOutage outage_ = StoreOutage::kUnknown;
   std::map<Ticket, Pending> calls_;
 };
 
