--- a/src/dispatch/tuning.cc
+++ b/src/dispatch/tuning.cc
@@ -18,12 +18,13 @@
 
 using Field = std::variant<Duration*, double*, int*, std::int64_t*, bool*>;
 
+/// An option that can be set by name.
 struct Tunable {
   const char* name;
   Field field;
 };
 
-std::vector<Tunable> TunablesOf(NodeOptions* options) {
+std::vector<Tunable> ListTunables(NodeOptions* options) {
   PlannerOptions& planner = options->scheduler.planner;
   SchedulerOptions& scheduler = options->scheduler;
   FleetOptions& fleet = options->scheduler.fleet;
@@ -61,33 +62,33 @@
   };
 }
 
-bool Set(const std::string& text, Duration* field) {
+bool Parse(const std::string& text, Duration* field) {
   std::int64_t ms = 0;
   if (!absl::SimpleAtoi(text, &ms)) return false;
   *field = Duration(ms);
   return true;
 }
 
-bool Set(const std::string& text, double* field) {
+bool Parse(const std::string& text, double* field) {
   return absl::SimpleAtod(text, field);
 }
 
-bool Set(const std::string& text, int* field) {
+bool Parse(const std::string& text, int* field) {
   return absl::SimpleAtoi(text, field);
 }
 
-bool Set(const std::string& text, std::int64_t* field) {
+bool Parse(const std::string& text, std::int64_t* field) {
   return absl::SimpleAtoi(text, field);
 }
 
-bool Set(const std::string& text, bool* field) {
+bool Parse(const std::string& text, bool* field) {
   return absl::SimpleAtob(text, field);
 }
 
-std::string Show(const Duration* field) { return absl::StrCat(field->ms()); }
-std::string Show(const bool* field) { return *field ? "true" : "false"; }
+std::string Format(const Duration* field) { return absl::StrCat(field->ms()); }
+std::string Format(const bool* field) { return *field ? "true" : "false"; }
 template <typename Number>
-std::string Show(const Number* field) {
+std::string Format(const Number* field) {
   return absl::StrCat(*field);
 }
 
@@ -98,35 +99,35 @@
   const std::size_t equals = setting.find('=');
   const std::string name = setting.substr(0, equals);
   if (equals == std::string::npos) {
-    findings->Add(name, "is no NAME=VALUE");
+    findings->Add(name, "must have the form NAME=VALUE");
     return;
   }
   const std::string value = setting.substr(equals + 1);
-  for (const Tunable& tunable : TunablesOf(options)) {
+  for (const Tunable& tunable : ListTunables(options)) {
     if (name != tunable.name) continue;
-    const bool fits = std::visit(
+    const bool valid = std::visit(
         [&value](auto* field) {
           auto parsed = *field;
-          if (!Set(value, &parsed)) return false;
+          if (!Parse(value, &parsed)) return false;
           *field = parsed;
           return true;
         },
         tunable.field);
-    if (!fits) findings->Add(name, "has a value of another type");
+    if (!valid) findings->Add(name, "has a value of the wrong type");
     return;
   }
-  findings->Add(name, "is no option that can be tuned");
+  findings->Add(name, "is not the name of a tunable option");
 }
 
 std::vector<std::string> ListTuning(const NodeOptions& options) {
-  NodeOptions copy = options;
-  std::vector<std::string> list;
-  for (const Tunable& tunable : TunablesOf(&copy)) {
+  NodeOptions mutable_options = options;
+  std::vector<std::string> settings;
+  for (const Tunable& tunable : ListTunables(&mutable_options)) {
     const std::string value =
-        std::visit([](auto* field) { return Show(field); }, tunable.field);
-    list.push_back(absl::StrCat(tunable.name, "=", value));
+        std::visit([](auto* field) { return Format(field); }, tunable.field);
+    settings.push_back(absl::StrCat(tunable.name, "=", value));
   }
-  return list;
+  return settings;
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/tuning.h
+++ b/src/dispatch/tuning.h
@@ -1,5 +1,6 @@
 /// @file
-/// Weights and times of the scheduler by name, for trials and ablations.
+/// Sets weights and times of the scheduler by name, for experiments and
+/// ablations.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,12 +16,12 @@
 
 namespace limeledge::dispatch {
 
-/// Sets one option from "NAME=VALUE"; times are in milliseconds. What is wrong
-/// with it is added to `findings`, and nothing is set then. Safe from any
-/// thread.
+/// Sets one option from "NAME=VALUE"; times are in milliseconds. If the setting
+/// is invalid, adds the reason to `findings` and changes nothing. Thread-safe.
 void Tune(const std::string& setting, NodeOptions* options, Findings* findings);
 
-/// All names with the values of `options`, as "NAME=VALUE".
+/// Returns all tunable options with their values in `options`, each as
+/// "NAME=VALUE". Thread-safe.
 std::vector<std::string> ListTuning(const NodeOptions& options);
 
 }  // namespace limeledge::dispatch
--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of callers' calls while the store answers, and while it does not.
+/// Tests of API calls while the store is available, and while it is not.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -10,10 +10,10 @@
 
 namespace limeledge::dispatch {
 
-// A call that was taken up while the store seemed well.
+// A front end with one call, which started while the store was available.
 TEST_GROUP(FrontEnd) {
-  StoreTimeout patience;
-  FrontEnd front_end{FrontEndOptions(), &patience};
+  StoreTimeout store_timeout;
+  FrontEnd front_end{FrontEndOptions(), &store_timeout};
   Catalog catalog = emulator::MakeCatalog();
   Ticket tickets;
   Effects effects;
@@ -24,7 +24,8 @@
     return Context(now, 0, &tickets, &effects);
   }
 
-  void Begin(CallKind kind, bool store_answers = true) {
+  /// Starts a call on a job.
+  void Start(CallKind kind, bool store_answers = true) {
     CallReceived call;
     call.kind = kind;
     call.host = emulator::kHost;
@@ -35,78 +36,79 @@
     front_end.Handle(ctx, call, &catalog, now, store_answers);
   }
 
-  /// The newest effect of a kind; null if there is none.
+  /// Returns the last effect of a type; null if there is none.
   template <typename Kind>
-  const Kind* Newest() const {
-    const Kind* newest = nullptr;
+  const Kind* Last() const {
+    const Kind* last = nullptr;
     for (const Effect& effect : effects) {
       const auto* found = std::get_if<Kind>(&effect);
-      if (found != nullptr) newest = found;
+      if (found != nullptr) last = found;
     }
-    return newest;
+    return last;
   }
 
-  /// The commit under way gets no answer.
+  /// Lets the pending commit end without a response.
   void LoseCommit(bool store_answers) {
-    CommitCompleted lost;
-    lost.ticket = Newest<CommitRows>()->ticket;
+    CommitCompleted no_response;
+    no_response.ticket = Last<CommitRows>()->ticket;
     now = now + Duration(300);
     Context ctx = NewContext();
-    front_end.Handle(ctx, lost, store_answers);
+    front_end.Handle(ctx, no_response, store_answers);
   }
 
-  /// The same for a reading.
+  /// Lets the pending read end without a response.
   void LoseRead(bool store_answers) {
-    ReadCompleted lost;
-    lost.ticket = Newest<ReadRows>()->ticket;
+    ReadCompleted no_response;
+    no_response.ticket = Last<ReadRows>()->ticket;
     now = now + Duration(300);
     Context ctx = NewContext();
-    front_end.Handle(ctx, lost, store_answers);
+    front_end.Handle(ctx, no_response, store_answers);
   }
 };
 
-TEST(FrontEnd, SubmitThatIsLostOnceIsSentAgainWhateverTheStore) {
-  Begin(CallKind::kSubmit);
+TEST(FrontEnd, SubmitIsRetriedOnceEvenIfTheStoreIsUnavailable) {
+  Start(CallKind::kSubmit);
   LoseCommit(false);
-  CHECK_TRUE(Newest<CommitRows>() != nullptr);
-  CHECK_TRUE(Newest<RespondToCall>() == nullptr);
+  CHECK_TRUE(Last<CommitRows>() != nullptr);
+  CHECK_TRUE(Last<RespondToCall>() == nullptr);
 }
 
-TEST(FrontEnd, SubmitThatIsLostTwiceGoesOnWhileOthersAreAnswered) {
-  Begin(CallKind::kSubmit);
+TEST(FrontEnd, SubmitIsRetriedAgainWhileTheStoreIsAvailable) {
+  Start(CallKind::kSubmit);
   LoseCommit(true);
   LoseCommit(true);
-  CHECK_TRUE(Newest<CommitRows>() != nullptr);
+  CHECK_TRUE(Last<CommitRows>() != nullptr);
 }
 
-// Callers were held for the three seconds that they had, and gave up for good.
+// Callers must not be held until their deadline during an outage: they would
+// have no time left to retry, and lose the call.
 TEST(FrontEnd, SubmitThatIsLostTwiceWhileTheStoreIsAwayIsAnsweredAtOnce) {
-  Begin(CallKind::kSubmit);
+  Start(CallKind::kSubmit);
   LoseCommit(false);
   LoseCommit(false);
-  POINTERS_EQUAL(nullptr, Newest<CommitRows>());
-  // It may have been taken: no refusal would be true.
-  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kUnknown);
-  CHECK_TRUE(Newest<RespondToCall>()->retry_after.value().ms() > 0);
+  POINTERS_EQUAL(nullptr, Last<CommitRows>());
+  // The submit may have been accepted, so the result must not be a refusal.
+  CHECK_TRUE(Last<RespondToCall>()->result == CallResult::kUnknown);
+  CHECK_TRUE(Last<RespondToCall>()->retry_after.value().ms() > 0);
   CHECK_TRUE(front_end.idle());
 }
 
-TEST(FrontEnd, CallerThatAnotherNodeWouldServeIsToldToComeBackAtOnce) {
+TEST(FrontEnd, RetryAfterIsZeroIfOnlyThisNodeLostTheStore) {
   front_end.SetStoreOutage(StoreOutage::kLocal);
-  Begin(CallKind::kSubmit, false);
-  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
-  LONGS_EQUAL(0, Newest<RespondToCall>()->retry_after.value().ms());
+  Start(CallKind::kSubmit, false);
+  CHECK_TRUE(Last<RespondToCall>()->result == CallResult::kNotAccepted);
+  LONGS_EQUAL(0, Last<RespondToCall>()->retry_after.value().ms());
   front_end.SetStoreOutage(StoreOutage::kGlobal);
-  Begin(CallKind::kSubmit, false);
+  Start(CallKind::kSubmit, false);
   LONGS_EQUAL(FrontEndOptions().retry_after.ms(),
-              Newest<RespondToCall>()->retry_after.value().ms());
+              Last<RespondToCall>()->retry_after.value().ms());
 }
 
-TEST(FrontEnd, QuestionThatIsLostTwiceWhileTheStoreIsAwayIsAnsweredAtOnce) {
-  Begin(CallKind::kQuery);
+TEST(FrontEnd, QueryFailsAfterTwoAttemptsWhileTheStoreIsUnavailable) {
+  Start(CallKind::kQuery);
   LoseRead(false);
   LoseRead(false);
-  CHECK_TRUE(Newest<RespondToCall>()->result == CallResult::kNotAccepted);
+  CHECK_TRUE(Last<RespondToCall>()->result == CallResult::kNotAccepted);
   CHECK_TRUE(front_end.idle());
 }
 
--- a/test/node-test.cc
+++ b/test/node-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the reducer of one process.
+/// Tests of the reducer of a dispatcher node.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -27,7 +27,7 @@
     return node.Reduce({now, 1700000000000, std::move(body)});
   }
 
-  /// The effects of one kind among `effects`.
+  /// Returns the effects of type `Kind`.
   template <typename Kind>
   static std::vector<Kind> Only(const Effects& effects) {
     std::vector<Kind> found;
@@ -37,7 +37,7 @@
     return found;
   }
 
-  /// Puts a configuration in force; returns the effects.
+  /// Loads a configuration; returns the effects.
   Effects ReadCatalog() {
     Reduce(TimerFired());
     CatalogReceived answer;
@@ -47,8 +47,8 @@
     return Reduce(answer);
   }
 
-  /// Makes the node the scheduler, whose claim is answered after `late`;
-  /// returns the effects.
+  /// Makes the node the leader; the response to its claim of the lease is
+  /// processed after `late`. Returns the effects of that response.
   Effects Lead(Duration late = Duration(0)) {
     const Effects reads = ReadCatalog();
     ReadCompleted empty;
@@ -64,26 +64,26 @@
   }
 };
 
-// A follower woke itself every millisecond while it waited for the store,
-// which took four fifths of its processor time.
+// Guards against a busy loop: a follower that waited for the store requested a
+// timer event every millisecond and used most of a core.
 TEST(Node, FollowerSleepsWhileItsCallsAreUnderWay) {
   ReadCatalog();
   CHECK_TRUE(node.next_at() > now + Duration(10000));
 }
 
-TEST(Node, NodeWithoutConfigurationSleepsWhileItIsRead) {
+TEST(Node, NodeSleepsWhileTheFirstConfigurationIsRead) {
   Reduce(TimerFired());
   CHECK_TRUE(node.next_at() > now + Duration(10000));
 }
 
-TEST(Node, SchedulerSleepsUntilItsLeaseIsToBeRenewed) {
+TEST(Node, LeaderSleepsUntilItsLeaseRenewal) {
   Lead();
   CHECK_TRUE(node.leads());
   CHECK_TRUE(node.next_at() > now);
 }
 
-// A node stood still while the answer to its claim waited, and looked at
-// runners when another had claimed since. Found by random courses.
+// A node was paused while the response to its claim waited, and polled runners
+// although another node had claimed the lease since.
 TEST(Node, ClaimWhoseAnswerWaitedIsConfirmedBeforeAnythingElse) {
   const Effects effects = Lead(Duration(5000));
   CHECK_TRUE(node.leads());
@@ -92,13 +92,13 @@
   LONGS_EQUAL(0, Only<ReadRows>(effects).size());
 }
 
-TEST(Node, ReadyOnceAConfigurationIsInForce) {
+TEST(Node, IsReadyOnceAConfigurationIsLoaded) {
   const std::vector<SetReady> ready = Only<SetReady>(ReadCatalog());
   LONGS_EQUAL(1, ready.size());
   CHECK_TRUE(ready.front().ready);
 }
 
-TEST(Node, CallBeforeAnyConfigurationIsNotTaken) {
+TEST(Node, RefusesCallsBeforeTheFirstConfiguration) {
   Reduce(TimerFired());
   CallReceived call;
   call.kind = CallKind::kSubmit;
@@ -108,7 +108,7 @@
   CHECK_TRUE(answers.front().retry_after.value().ms() > 0);
 }
 
-TEST(Node, StopAskedHandsTheLeaseOverAtOnceAndExitsAfterTheLinger) {
+TEST(Node, ShutdownReleasesTheLeaseImmediatelyAndExitsAfterTheLinger) {
   Lead();
   const auto commits = Only<CommitRows>(Reduce(ShutdownRequested()));
   LONGS_EQUAL(1, commits.size());
@@ -126,8 +126,8 @@
   LONGS_EQUAL(1, Only<Exit>(Reduce(TimerFired())).size());
 }
 
-// A process whose hand-over the store did not take was killed at the end of
-// its grace, with calls that it still had.
+// A process that could not release its lease waited until it was killed at the
+// end of the grace period, with calls still pending.
 TEST(Node, StopDuringAnOutageOfTheStoreEndsWithinTheGrace) {
   Lead();
   const auto commits = Only<CommitRows>(Reduce(ShutdownRequested()));
--- a/test/tuning-test.cc
+++ b/test/tuning-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of setting options by name.
+/// Tests of setting tunable options by name.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
   Findings findings{"--tune"};
 };
 
-TEST(Tuning, OptionsOfEachTypeAreSetByName) {
+TEST(Tuning, SetsOptionsOfEachType) {
   Tune("patience=900", &options, &findings);
   Tune("urgent-share=0.5", &options, &findings);
   Tune("kept-gangs=2", &options, &findings);
@@ -25,7 +25,7 @@
   LONGS_EQUAL(2, options.scheduler.planner.max_reserved_gangs);
 }
 
-TEST(Tuning, WhatIsWrongIsFoundAndSetsNothing) {
+TEST(Tuning, ReportsInvalidSettingsAndChangesNothing) {
   const std::vector<std::string> before = ListTuning(options);
   Tune("patience=soon", &options, &findings);
   Tune("no-such-thing=1", &options, &findings);
@@ -34,9 +34,9 @@
   CHECK_TRUE(before == ListTuning(options));
 }
 
-TEST(Tuning, ListedValuesCanBeSetAgain) {
-  for (const std::string& line : ListTuning(options)) {
-    Tune(line, &options, &findings);
+TEST(Tuning, AcceptsAllListedSettings) {
+  for (const std::string& setting : ListTuning(options)) {
+    Tune(setting, &options, &findings);
   }
   CHECK_TRUE(findings.empty());
 }
