--- a/test/dispatch-fuzz-test.cc
+++ b/test/dispatch-fuzz-test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Random courses of a whole emulated system, with faults, against its oracle.
+/// Fuzz tests: random simulations of a whole emulated system with faults,
+/// checked by its oracle.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,64 +15,65 @@
 
 namespace {
 
-/// Courses of one run, unless more are asked for.
+/// Number of simulations unless LIMELEDGE_COURSES is set.
 constexpr int kDefaultRunCount = 30;
 
-/// Plays a course; returns whether it broke a promise, which is printed.
-bool Breaks(int seed, const dispatch::PlanningPolicy& policy, FaultMix mix) {
-  const std::vector<std::string> wrong =
+/// Runs a simulation. Prints its first violation; returns true if there is one.
+bool HasViolations(int seed, const dispatch::PlanningPolicy& policy,
+                   FaultMix mix) {
+  const std::vector<std::string> violations =
       Simulation(seed, policy, RestartMode::kRare, mix).Run();
-  if (wrong.empty()) return false;
-  UT_PRINT(("seed " + std::to_string(seed) + ": " + wrong.front() + " (" +
-            std::to_string(wrong.size()) + " in all)")
+  if (violations.empty()) return false;
+  UT_PRINT(("seed " + std::to_string(seed) + ": " + violations.front() + " (" +
+            std::to_string(violations.size()) + " in total)")
                .c_str());
   return true;
 }
 
-/// Plays courses under a policy; returns how many broke a promise.
-int CountBroken(int courses, const dispatch::PlanningPolicy& policy,
+/// Runs simulations with a policy; returns how many had violations.
+int CountFailed(int runs, const dispatch::PlanningPolicy& policy,
                 FaultMix mix = FaultMix::kAll) {
-  int broken = 0;
-  for (int seed = FirstSeed(); seed < FirstSeed() + courses; ++seed) {
-    broken += Breaks(seed, policy, mix) ? 1 : 0;
+  int failed = 0;
+  for (int seed = FirstSeed(); seed < FirstSeed() + runs; ++seed) {
+    failed += HasViolations(seed, policy, mix) ? 1 : 0;
   }
-  return broken;
+  return failed;
 }
 
 }  // namespace
 
 TEST_GROUP(DispatchFuzz){};
 
-TEST(DispatchFuzz, RandomCoursesBreakNoPromise) {
-  LONGS_EQUAL(0, CountBroken(RunCountOr(kDefaultRunCount),
+TEST(DispatchFuzz, RandomSimulationsHaveNoViolations) {
+  LONGS_EQUAL(0, CountFailed(RunCountOr(kDefaultRunCount),
                              dispatch::DefaultPlanningPolicy()));
 }
 
-// Once, a task ran again though an end of it as done was taken note of, while
-// the scheduler that had started it lived on: answers came late, most other
-// processes were killed at once, and the store forgot its history. Courses of
-// just that show it where a renewal came late and counted from its arrival: a
-// runner was silent for longer than the lease that the scheduler knew of, the
-// task began elsewhere, then the runner was heard, listed the end, and was told
-// that it is known, before its lease ever ran out.
-TEST(DispatchFuzz, NoTaskRunsAgainAfterAnEndThatCountsWhereAnswersAreLost) {
-  LONGS_EQUAL(0, CountBroken(RunCountOr(kDefaultRunCount),
+// A task ran again although its scheduler had already acknowledged that it was
+// done, and stayed the leader throughout. A late renewal extended the lease
+// from its arrival. The runner was then silent for longer than the lease that
+// the scheduler knew of, and the task was started elsewhere. Before its lease
+// expired, the runner reported the end of its run, which was acknowledged. The
+// fault needs late responses, killed nodes and a store that compacts its
+// history.
+TEST(DispatchFuzz, NoTaskRunsAgainAfterItIsDoneIfResponsesAreLost) {
+  LONGS_EQUAL(0, CountFailed(RunCountOr(kDefaultRunCount),
                              dispatch::DefaultPlanningPolicy(),
                              FaultMix::kLostAnswers));
 }
 
-// Courses that broke that.
+// Seeds that failed the test above.
 TEST(DispatchFuzz, CoursesThatOnceRanATaskAgainAfterItsEndBreakNoPromise) {
   for (const int seed : {1020, 2169, 3192, 3243}) {
-    CHECK_FALSE(Breaks(seed, dispatch::DefaultPlanningPolicy(),
-                       FaultMix::kLostAnswers));
+    CHECK_FALSE(HasViolations(seed, dispatch::DefaultPlanningPolicy(),
+                              FaultMix::kLostAnswers));
   }
 }
 
-TEST(DispatchFuzz, RandomCoursesUnderEachPolicyBreakNoPromise) {
-  constexpr int kShareOfCourses = 4;
+TEST(DispatchFuzz, RandomSimulationsOfEachPolicyHaveNoViolations) {
+  constexpr int kRunDivisor = 4;
   for (const std::string& name : dispatch::PlanningPolicyNames()) {
-    LONGS_EQUAL(0, CountBroken(RunCountOr(kDefaultRunCount) / kShareOfCourses,
+    LONGS_EQUAL(0, CountFailed(RunCountOr(kDefaultRunCount) / kRunDivisor,
                                *dispatch::FindPlanningPolicy(name)));
   }
 }
--- a/test/dispatch-simulation.h
+++ b/test/dispatch-simulation.h
@@ -1,5 +1,5 @@
 /// @file
-/// Random courses over an emulated system, with every fault that it has.
+/// Random simulations of an emulated system with faults.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,70 +19,75 @@
 
 namespace limeledge::emulator {
 
-/// How often runners start again in a course, and under which ids.
+/// How often runners restart in a simulation, and under which ids.
 enum class RestartMode { kRare, kNewIds, kSameIds };
 
-/// Which faults a course has: all, or those that can make a scheduler that
-/// lives on lose what it was told. Answers come late or never, the store
-/// forgets its history, and everything else is killed at once.
+/// Which faults a simulation has: all, or only those that make a scheduler lose
+/// responses while it stays the leader. With `kLostAnswers`, responses are late
+/// or lost, the store compacts its history, the other nodes are killed, and
+/// runners leave or cannot be reached.
 enum class FaultMix { kAll, kLostAnswers };
 
-/// One random course over a system.
+/// One random simulation, with an emulated system of its own.
 class Simulation {
  public:
   Simulation(int seed, const dispatch::PlanningPolicy& policy,
-             RestartMode restarts = RestartMode::kRare,
-             FaultMix mix = FaultMix::kAll)
+             RestartMode restart_mode = RestartMode::kRare,
+             FaultMix fault_mix = FaultMix::kAll)
       : random_(static_cast<std::uint64_t>(seed)),
-        restarts_(restarts),
-        mix_(mix),
-        system_(OptionsFor(seed, policy, restarts, mix)) {
+        restart_mode_(restart_mode),
+        fault_mix_(fault_mix),
+        system_(OptionsFor(seed, policy, restart_mode, fault_mix)) {
     TraceIfRequested(&system_);
   }
 
-  /// Plays jobs and faults, then lets all come to rest. Returns what went
-  /// wrong.
+  /// Runs random jobs and faults, then removes all faults and waits until the
+  /// jobs are done. Returns all errors and
+  /// violations of invariants.
   std::vector<std::string> Run() {
     system_.Run(Duration(3000));
     for (int i = 0; i < kSteps; ++i) {
       Step();
       system_.Run(Duration(Pick(100, 700)));
     }
-    Heal();
-    // Tasks that crash their runners, and wait for what became of these, take
-    // their time.
-    system_.Run(Duration(restarts_ == RestartMode::kRare ? 60000 : 120000));
-    std::vector<std::string> wrong = system_.violations();
-    for (const auto& [id, watch] : system_.jobs()) CheckEnd(id, watch, &wrong);
-    return wrong;
+    RemoveFaults();
+    // Tasks that crash their runners take longer, since they wait until it is
+    // known what happened to these runners.
+    system_.Run(Duration(restart_mode_ == RestartMode::kRare ? 60000 : 120000));
+    std::vector<std::string> errors = system_.violations();
+    for (const auto& [id, watch] : system_.jobs()) CheckEnd(id, watch, &errors);
+    return errors;
   }
 
   int jobs() const { return static_cast<int>(system_.jobs().size()); }
-  /// Jobs that can be done and were given up for crashes of their runners.
+  /// Number of jobs that could succeed and were given up because their runners
+  /// crashed.
   int given_up() const { return given_up_; }
-  /// Those of them that the platform does not let be given up.
+  /// Number of these jobs that must not be given up.
   int given_up_wrongly() const { return given_up_wrongly_; }
 
  private:
   static constexpr int kSteps = 60;
-  /// The platform lets a task be given up under which so many runners crashed.
+  /// A task may be given up once this many runners crashed while running it.
   static constexpr int kCrashesToGiveUp = 2;
 
   static SystemOptions OptionsFor(int seed,
                                   const dispatch::PlanningPolicy& policy,
-                                  RestartMode restarts, FaultMix mix) {
+                                  RestartMode restart_mode,
+                                  FaultMix fault_mix) {
     SystemOptions options;
     options.planner.policy = &policy;
     options.seed = static_cast<std::uint64_t>(seed);
-    const bool keeps_ids = restarts == RestartMode::kSameIds;
+    const bool keeps_ids = restart_mode == RestartMode::kSameIds;
     options.keeps_ids = keeps_ids;
-    // In a third of the courses each, entries lag, or clocks jumped back.
-    constexpr int kThird = 3;
-    if (mix == FaultMix::kLostAnswers && seed % kThird == 0) {
+    // Runner entries lag behind in a third of the simulations, and clocks of
+    // restarted runners jump back in another third.
+    constexpr int kGroups = 3;
+    if (fault_mix == FaultMix::kLostAnswers && seed % kGroups == 0) {
       options.bounds.lease_from_arrival = Duration(5000);
     }
-    if (keeps_ids && seed % kThird == 0) options.entry_lag = Duration(1500);
-    if (keeps_ids && seed % kThird == 1) options.birth_step = Duration(-60000);
+    if (keeps_ids && seed % kGroups == 0) options.entry_lag = Duration(1500);
+    if (keeps_ids && seed % kGroups == 1) options.birth_step = Duration(-60000);
     return options;
   }
 
@@ -94,8 +99,9 @@
   void Step() {
     if (!OneIn(3)) Submit();
     if (OneIn(12)) CancelOne();
-    if (OneIn(4)) mix_ == FaultMix::kAll ? Fault() : LoseAnswers();
-    if (restarts_ != RestartMode::kRare && OneIn(4)) RestartFault();
+    if (OneIn(4))
+      fault_mix_ == FaultMix::kAll ? InjectFault() : InjectLostAnswers();
+    if (restart_mode_ != RestartMode::kRare && OneIn(4)) InjectRestartFault();
   }
 
   dispatch::StepSpec MakeStep(TaskTruth* truth) {
@@ -110,9 +116,9 @@
     if (OneIn(6)) step.max_per_runner = Pick(1, 3);
     truth->work = step.estimate * Pick(50, 200) / 100;
     truth->always_fails = OneIn(15);
-    if (restarts_ != RestartMode::kRare && OneIn(40)) {
-      // An emulated gang is done with its first member, whose runner may be
-      // ahead.
+    if (restart_mode_ != RestartMode::kRare && OneIn(40)) {
+      // An emulated gang ends with its first member, which may be ahead of the
+      // one that crashes: the work must take longer than the time to the crash.
       truth->work = std::max(truth->work, Duration(2000));
       truth->crashes_after = Duration(Pick(5, 800));
     }
@@ -129,10 +135,11 @@
       truths.push_back(truth);
     }
     if (steps == 2) spec.steps[1].after.push_back(0);
-    // 0 is urgent, 2 needs advice.
+    // Priority 0 is urgent; priority 2 needs advice.
     spec.policy.priority = OneIn(3) ? 0 : OneIn(4) ? 2 : 1;
     if (spec.policy.priority == 2) {
-      // Half of the runners may run a step; it must be possible there.
+      // The advice service allows a step on half of the runners only; the step
+      // must fit on these.
       for (dispatch::StepSpec& step : spec.steps) {
         step.max_per_runner = 0;
         step.need.accelerators =
@@ -160,7 +167,7 @@
     return leader >= 0 ? leader : Pick(0, 2);
   }
 
-  void Fault() {
+  void InjectFault() {
     Faults& faults = system_.faults();
     switch (Pick(0, 12)) {
       case 0:
@@ -201,14 +208,15 @@
         system_.store().ForgetHistory();
         break;
       default:
-        Heal();
+        RemoveFaults();
         if (OneIn(2)) break;
         faults.parts_down = {dispatch::AllJobPartitions()[Pick(
             0, dispatch::kJobPartitions - 1)]};
     }
   }
 
-  void LoseAnswers() {
+  /// Injects one of the faults of `FaultMix::kLostAnswers`.
+  void InjectLostAnswers() {
     Faults& faults = system_.faults();
     faults.late_order = Duration(Pick(1000, 12000));
     switch (Pick(0, 7)) {
@@ -237,32 +245,32 @@
         faults.unreachable_runners = {AnyRunner(), AnyRunner()};
         break;
       default:
-        Heal();
+        RemoveFaults();
     }
   }
 
-  /// What only counts where runners come back under their ids.
-  void RestartFault() {
+  /// Injects one of the faults that matter only if runners restart.
+  void InjectRestartFault() {
     Faults& faults = system_.faults();
     switch (Pick(0, 6)) {
       case 0:
-        Restart(1);
+        RestartRunners(1);
         break;
       case 1:
-        Restart(4);
+        RestartRunners(4);
         break;
       case 2:
-        RestartBehindCut();
+        RestartUnreachableRunner();
         break;
       case 3:
-        // While nobody schedules.
+        // Runners restart while there is no leader.
         for (int node = 0; node < 3; ++node) {
           system_.KillNode(node, Duration(Pick(500, 3000)));
         }
-        Restart(3);
+        RestartRunners(3);
         break;
       case 4:
-        // Several times in a row.
+        // The same runner restarts several times in a row.
         for (int i = 0; i < 3; ++i) {
           system_.CrashRunner(system_.RunnerIds().front(), Duration(50));
           system_.Run(Duration(Pick(60, 400)));
@@ -278,14 +286,15 @@
     }
   }
 
-  /// Runners start again, most of them before their entries lapse.
-  void Restart(int count) {
+  /// Restarts runners, most of them before their entries expire.
+  void RestartRunners(int count) {
     for (int i = 0; i < count; ++i) {
       system_.CrashRunner(AnyRunner(), Duration(Pick(20, 5000)));
     }
   }
 
-  void RestartBehindCut() {
+  /// Restarts a runner while nodes cannot reach it.
+  void RestartUnreachableRunner() {
     const RunnerId runner = AnyRunner();
     system_.faults().unreachable_runners.insert(runner);
     system_.CrashRunner(runner, Duration(Pick(50, 2000)));
@@ -293,32 +302,36 @@
     system_.faults().unreachable_runners.erase(runner);
   }
 
-  void Heal() { system_.faults() = Faults(); }
+  /// Removes all faults.
+  void RemoveFaults() { system_.faults() = Faults(); }
 
-  /// Every accepted job has come to the end that it should.
+  /// Adds an error unless the job reached an allowed final state.
   void CheckEnd(const JobId& id, const JobWatch& watch,
-                std::vector<std::string>* wrong) {
+                std::vector<std::string>* errors) {
     const std::string state = system_.StateOf(id);
-    bool poison = false;
+    bool cannot_succeed = false;
     for (const TaskTruth& truth : watch.truths) {
-      poison = poison || truth.always_fails || truth.crashes_after.has_value();
+      cannot_succeed = cannot_succeed || truth.always_fails ||
+                       truth.crashes_after.has_value();
     }
     const bool cancelled = state == "cancelled" && watch.cancel_sent;
-    const bool failed = state == "failed" && poison;
-    if (state == "done" && !poison) return;
+    const bool failed = state == "failed" && cannot_succeed;
+    if (state == "done" && !cannot_succeed) return;
     if (cancelled || failed) return;
-    // Where runners crash all the time, a task may seem to have had four of
-    // them crash under it.
-    if (restarts_ != RestartMode::kRare && state == "failed" && !poison) {
+    // If runners crash all the time, several crashes may hit the same task by
+    // chance, so that it seems to have caused them.
+    if (restart_mode_ != RestartMode::kRare && state == "failed" &&
+        !cannot_succeed) {
       ++given_up_;
       if (!MayBeGivenUp(watch)) ++given_up_wrongly_;
       return;
     }
-    wrong->push_back("job " + id.value() + " ends as '" + state + "'" +
-                     (poison ? ", can not be done" : ""));
+    errors->push_back("job " + id.value() + " ended in state '" + state + "'" +
+                      (cannot_succeed ? ", although it cannot succeed" : ""));
   }
 
-  /// True if two runners crashed under a task of the job, whoever crashed them.
+  /// True if two runners crashed while they ran the same task of the job,
+  /// whatever made them crash.
   static bool MayBeGivenUp(const JobWatch& watch) {
     return std::any_of(
         watch.crashed_under.begin(), watch.crashed_under.end(),
@@ -326,8 +339,8 @@
   }
 
   std::mt19937_64 random_;
-  const RestartMode restarts_;
-  const FaultMix mix_;
+  const RestartMode restart_mode_;
+  const FaultMix fault_mix_;
   int given_up_ = 0;
   int given_up_wrongly_ = 0;
   EmulatedSystem system_;
--- a/test/simulation-settings.h
+++ b/test/simulation-settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// What is asked of random courses by hand, from the environment.
+/// Settings of random simulations, from environment variables.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,19 +15,20 @@
 
 namespace limeledge::emulator {
 
-/// Courses of one run: LIMELEDGE_COURSES, or `usual`.
-inline int RunCountOr(int usual) {
-  const char* wanted = std::getenv("LIMELEDGE_COURSES");
-  return wanted == nullptr ? usual : std::atoi(wanted);
+/// Returns the number of simulations to run: LIMELEDGE_COURSES if set, else
+/// `default_count`.
+inline int RunCountOr(int default_count) {
+  const char* value = std::getenv("LIMELEDGE_COURSES");
+  return value == nullptr ? default_count : std::atoi(value);
 }
 
-/// Seed of the first course: LIMELEDGE_SEED, or 1.
+/// Returns the seed of the first simulation: LIMELEDGE_SEED if set, else 1.
 inline int FirstSeed() {
-  const char* wanted = std::getenv("LIMELEDGE_SEED");
-  return wanted == nullptr ? 1 : std::atoi(wanted);
+  const char* value = std::getenv("LIMELEDGE_SEED");
+  return value == nullptr ? 1 : std::atoi(value);
 }
 
-/// With LIMELEDGE_TRACE set, shows what happens in the system.
+/// Prints the trace of the system if LIMELEDGE_TRACE is set.
 inline void TraceIfRequested(EmulatedSystem* system) {
   if (std::getenv("LIMELEDGE_TRACE") == nullptr) return;
   system->SetTrace(
