--- a/test/dispatch-simulation.h
+++ b/test/dispatch-simulation.h
@@ -41,9 +41,8 @@
     TraceIfRequested(&system_);
   }
 
-  /// Runs random jobs and faults, then removes all faults and waits until the
-  /// jobs are done. Returns all errors and
-  /// violations of invariants.
+  /// Runs random jobs and faults, then removes all faults and lets the jobs
+  /// end. Returns all violations of invariants and jobs in wrong final states.
   std::vector<std::string> Run() {
     system_.Run(Duration(3000));
     for (int i = 0; i < kSteps; ++i) {
