--- a/test/dispatch-simulation.h
+++ b/test/dispatch-simulation.h
@@ -36,7 +36,7 @@
              FaultMix fault_mix = FaultMix::kAll)
       : random_(static_cast<std::uint64_t>(seed)),
         restart_mode_(restart_mode),
-        fault_mix_(fault_mix),
+        faults_(fault_mix),
         system_(OptionsFor(seed, policy, restart_mode, fault_mix)) {
     TraceIfRequested(&system_);
   }
@@ -98,9 +98,8 @@
   void Step() {
     if (!OneIn(3)) Submit();
     if (OneIn(12)) CancelOne();
-    if (OneIn(4))
-      fault_mix_ == FaultMix::kAll ? InjectFault() : InjectLostAnswers();
-    if (restart_mode_ != RestartMode::kRare && OneIn(4)) InjectRestartFault();
+    if (OneIn(4)) faults_ == FaultMix::kAll ? AddFault() : LoseAnswers();
+    if (restart_mode_ != RestartMode::kRare && OneIn(4)) AddRestartFault();
   }
 
   dispatch::StepSpec MakeStep(TaskTruth* truth) {
@@ -166,7 +165,7 @@
     return leader >= 0 ? leader : Pick(0, 2);
   }
 
-  void InjectFault() {
+  void AddFault() {
     Faults& faults = system_.faults();
     switch (Pick(0, 12)) {
       case 0:
@@ -214,8 +213,8 @@
     }
   }
 
-  /// Injects one of the faults of `FaultMix::kLostAnswers`.
-  void InjectLostAnswers() {
+  /// Adds one of the faults of `FaultMix::kLostAnswers`.
+  void LoseAnswers() {
     Faults& faults = system_.faults();
     faults.late_order = Duration(Pick(1000, 12000));
     switch (Pick(0, 7)) {
@@ -248,8 +247,8 @@
     }
   }
 
-  /// Injects one of the faults that matter only if runners restart.
-  void InjectRestartFault() {
+  /// Adds one of the faults that matter only if runners restart.
+  void AddRestartFault() {
     Faults& faults = system_.faults();
     switch (Pick(0, 6)) {
       case 0:
@@ -339,7 +338,7 @@
 
   std::mt19937_64 random_;
   const RestartMode restart_mode_;
-  const FaultMix fault_mix_;
+  const FaultMix faults_;
   int given_up_ = 0;
   int given_up_wrongly_ = 0;
   EmulatedSystem system_;
