--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -22,7 +22,7 @@
 struct Candidate {
   Runner* runner = nullptr;
   std::string rack;
-  /// The same rack as a number from 0; set by the seating.
+  /// The same rack as a number from 0; set by the pool.
   std::size_t rack_number = 0;
   /// The rack is set apart for urgent work.
   bool urgent_rack = false;
@@ -62,13 +62,13 @@
   ServiceId service;
   int count = 1;
   /// Runners of the step's tasks now, for the limit on each.
-  std::map<RunnerId, int> used;
+  std::map<RunnerId, int> tasks_per_runner;
   /// Runners to pass over while there are others; null for none.
   const std::set<IncarnationId>* avoided = nullptr;
   /// Runners outside the rack with the data, or in several racks, are taken
   /// too.
-  bool anywhere = false;
-  /// Only these runners may be used; null for any.
+  bool ignore_locality = false;
+  /// Only these runners may be tasks_per_runner; null for any.
   const std::set<IncarnationId>* allowed = nullptr;
   /// Runners that are usually faster go first.
   bool prefers_fast = false;
@@ -86,33 +86,35 @@
 /// Thread safety: none; lives for one pass.
 class CandidatePool {
  public:
-  explicit CandidatePool(std::vector<Candidate> seats);
+  explicit CandidatePool(std::vector<Candidate> candidates);
 
-  std::size_t racks() const { return rack_room_.size(); }
+  std::size_t rack_count() const { return free_accelerators_.size(); }
 
-  std::vector<Candidate>& seats() { return seats_; }
-  const std::vector<Candidate>& seats() const { return seats_; }
+  std::vector<Candidate>& candidates() { return seats_; }
+  const std::vector<Candidate>& candidates() const { return seats_; }
 
-  /// One seat for each of `count` tasks, or none at all. Takes their room.
+  /// One candidate for each of `count` tasks, or none at all. Takes their room.
   std::vector<Candidate*> PlaceAll(const PlacementRequest& request);
-  /// The best seat for one task; null if it fits nowhere. Takes its room.
+  /// The best candidate for one task; null if it fits nowhere. Takes its room.
   Candidate* PlaceOne(const PlacementRequest& request);
 
   /// True if suitable runners have room for the request's tasks so many times
   /// over, were nothing kept free for others.
-  bool FitsTimes(const PlacementRequest& request, int times) const;
+  bool FitsMultiple(const PlacementRequest& request, int times) const;
 
-  /// True if the seat is one that the request allows, whatever its room.
-  static bool Suits(const Candidate& seat, const PlacementRequest& request);
+  /// True if the candidate is one that the request allows, whatever its room.
+  static bool MeetsConstraints(const Candidate& candidate,
+                               const PlacementRequest& request);
 
  private:
-  std::vector<Candidate*> PlaceAmong(const PlacementRequest& request,
-                                     const std::vector<Candidate*>& seats);
-  void Take(Candidate* seat, const StepSpec& step, bool is_suspect);
+  std::vector<Candidate*> PlaceWithin(
+      const PlacementRequest& request,
+      const std::vector<Candidate*>& candidates);
+  void Take(Candidate* candidate, const StepSpec& step, bool is_suspect);
 
   std::vector<Candidate> seats_;
   /// Free accelerators of each rack, by its number.
-  std::vector<std::int64_t> rack_room_;
+  std::vector<std::int64_t> free_accelerators_;
 };
 
 /// How many tasks of `need` fit in `room`, at most `limit`.
--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The planner's pass, from its units to its plan.
+/// The planner's pass, from its pending_steps to its plan.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,17 +15,17 @@
 
 const char* ToString(WaitReason reason) {
   switch (reason) {
-    case WaitReason::kBehindOthers:
+    case WaitReason::kBlockedByEarlierStep:
       return "others that do not fit go first";
     case WaitReason::kNoTickets:
       return "no runner has a ticket for the step";
     case WaitReason::kNoCapacity:
       return "no room";
-    case WaitReason::kNothingMakesWay:
+    case WaitReason::kNotEnoughPreemptible:
       return "no room, and not enough may make way";
-    case WaitReason::kRoomIsMade:
+    case WaitReason::kPreempting:
       return "others make way";
-    case WaitReason::kRoomIsKept:
+    case WaitReason::kCapacityReserved:
       return "runners are kept free for the gang";
   }
   return "";
@@ -47,34 +47,34 @@
       times_(times),
       advice_(advice),
       jobs_(*jobs),
-      seating_(fleet->Candidates(now, catalog.drained_halls)),
-      knows_free_room_(fleet->KnowsFreeCapacity(now)),
-      knows_rooms_(fleet->KnowsCapacities(now)) {
+      pool_(fleet->Candidates(now, catalog.drained_halls)),
+      free_capacity_known_(fleet->KnowsFreeCapacity(now)),
+      capacities_known_(fleet->KnowsCapacities(now)) {
   planner_.next_at_ = kNever;
 }
 
 Plan Planner::Pass::Decide() {
-  SetUrgentRacksApart();
-  CollectUnits();
-  SortUnits();
+  SelectUrgentRacks();
+  CollectPendingSteps();
+  SortPendingSteps();
   ++planner_.passes_;
-  for (Unit& unit : units_) {
-    if (IsBlocked(unit)) {
-      NoteWait(unit, WaitReason::kBehindOthers);
-    } else if (IsDue(unit)) {
-      Place(&unit);
+  for (PendingStep& pending : pending_steps_) {
+    if (IsBlocked(pending)) {
+      RecordWait(pending, WaitReason::kBlockedByEarlierStep);
+    } else if (IsTriedInThisPass(pending)) {
+      Place(&pending);
     } else {
-      KeepWait(unit);
+      KeepWaitReason(pending);
     }
   }
-  DropOldClaims();
+  DropExpiredReservations();
   plan_.steps_waiting = static_cast<int>(waits_.size());
-  plan_.idle_accelerators = MeasureIdleRoom();
+  plan_.idle_accelerators = MeasureIdleAccelerators();
   planner_.waits_ = std::move(waits_);
   return std::move(plan_);
 }
 
-IdleAccelerators Planner::Pass::MeasureIdleRoom() {
+IdleAccelerators Planner::Pass::MeasureIdleAccelerators() {
   std::map<const Runner*, std::int64_t> assigned;
   for (const Assignment& assignment : plan_.assignments) {
     const Job* job = jobs_.Find(assignment.task.job);
@@ -82,28 +82,29 @@
         job->step_spec(assignment.task.step).need.accelerators;
   }
   IdleAccelerators room;
-  for (const Candidate& seat : seating_.seats()) {
+  for (const Candidate& candidate : pool_.candidates()) {
     const std::int64_t idle = std::max<std::int64_t>(
-        0, seat.runner->free_capacity().accelerators - assigned[seat.runner]);
+        0, candidate.runner->free_capacity().accelerators -
+               assigned[candidate.runner]);
     const std::int64_t open =
-        std::clamp<std::int64_t>(seat.room.accelerators, 0, idle);
-    room.all += seat.runner->info().room.accelerators;
+        std::clamp<std::int64_t>(candidate.room.accelerators, 0, idle);
+    room.all += candidate.runner->info().room.accelerators;
     room.kept += idle - open;
-    (seat.urgent_rack ? room.urgent_racks : room.open) += open;
+    (candidate.urgent_rack ? room.urgent_racks : room.open) += open;
   }
   return room;
 }
 
-void Planner::Pass::NoteWait(const Unit& unit, WaitReason reason) {
-  waits_[unit.key] = reason;
-  const auto before = planner_.waits_.find(unit.key);
+void Planner::Pass::RecordWait(const PendingStep& pending, WaitReason reason) {
+  waits_[pending.key] = reason;
+  const auto before = planner_.waits_.find(pending.key);
   if (before != planner_.waits_.end() && before->second == reason) return;
   plan_.waits.push_back(
-      {unit.key, reason, static_cast<int>(unit.waiting.size())});
+      {pending.key, reason, static_cast<int>(pending.waiting.size())});
 }
 
-void Planner::Pass::KeepWait(const Unit& unit) {
-  const auto before = planner_.waits_.find(unit.key);
+void Planner::Pass::KeepWaitReason(const PendingStep& pending) {
+  const auto before = planner_.waits_.find(pending.key);
   if (before != planner_.waits_.end()) waits_.insert(*before);
 }
 
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -28,15 +28,16 @@
   /// Order of what waits; never null.
   const PlanningPolicy* policy = &DefaultPlanningPolicy();
   /// How long urgent work waits for a good place (one rack, near its data)
-  /// before it takes any. With a claim that comes to nothing and the stop after
-  /// it, less than the 2.9 to 3.4 s in which a workspace has its guarantee.
+  /// before it takes any. With a reservation that comes to nothing and the stop
+  /// after it, less than the 2.9 to 3.4 s in which a workspace has its
+  /// guarantee.
   Duration urgent_locality_wait{900};
   /// The same for other work. Below the 3 s after which a waiting task beside
   /// idle runners counts as forgotten.
   Duration locality_wait{1500};
   /// Gangs do not wait longer than this for a good place while there is room
   /// for them twice over elsewhere; below the same 3 s.
-  Duration beside_free_room{2500};
+  Duration max_locality_wait_with_free_capacity{2500};
   /// A task whose next failure is final waits for a runner on which no run
   /// failed lately; while most are idle, no longer than this. Below the same
   /// 3 s.
@@ -80,8 +81,8 @@
   std::int64_t urgent_victim_weight = 1000;
   /// Gangs that are tried in each pass; those behind them in order are tried in
   /// every so many-th pass, so that a pass stays short under a backlog.
-  int gangs_in_each_pass = 24;
-  int passes_for_the_rest = 5;
+  int gangs_per_pass = 24;
+  int remaining_gangs_interval = 5;
   /// An accelerator counts as this many cores.
   int cores_per_accelerator = 8;
 };
@@ -116,17 +117,17 @@
 /// Why tasks of a step that is ready do not start.
 enum class WaitReason {
   /// The policy lets nothing overtake what did not fit before.
-  kBehindOthers,
+  kBlockedByEarlierStep,
   /// The advice service named no runner on which the step may run, so far.
   kNoTickets,
   /// There is no room, and nothing has to make way yet.
   kNoCapacity,
   /// There is no room, and not enough may make way.
-  kNothingMakesWay,
+  kNotEnoughPreemptible,
   /// Others make way; their room is not free yet.
-  kRoomIsMade,
+  kPreempting,
   /// Runners are kept free until there is room for the whole gang.
-  kRoomIsKept,
+  kCapacityReserved,
 };
 
 /// For people.
@@ -181,14 +182,14 @@
 
  private:
   /// A step with tasks to start.
-  struct Unit {
+  struct PendingStep {
     StepName key;
     Job* job = nullptr;
     Step* step = nullptr;
     const StepSpec* spec = nullptr;
     QueuePolicy policy;
     /// What the planner's policy goes by.
-    WaitingStep rank;
+    StepRank rank;
     /// Latest start that still meets the deadline.
     std::int64_t latest_start_wall_ms = 0;
     std::vector<int> waiting;
@@ -199,15 +200,15 @@
     }
   };
   /// Room that was made by displacing, until it is free.
-  struct Claim {
+  struct Reservation {
     std::vector<RunnerId> runners;
     TimePoint since;
   };
-  /// One pass over all units.
+  /// One pass over all pending_steps.
   class Pass;
 
   PlannerOptions options_;
-  std::map<StepName, Claim> claims_;
+  std::map<StepName, Reservation> reservations_;
   /// Why steps waited in the last pass.
   std::map<StepName, WaitReason> waits_;
   int passes_ = 0;
--- a/src/dispatch/planner_placement.cc
+++ b/src/dispatch/planner_placement.cc
@@ -12,267 +12,285 @@
 
 namespace limeledge::dispatch {
 
-Duration Planner::Pass::PatienceOf(const Unit& unit) const {
-  return unit.policy.priority == 0 ? options_.urgent_locality_wait
-                                   : options_.locality_wait;
+Duration Planner::Pass::LocalityWaitOf(const PendingStep& pending) const {
+  return pending.policy.priority == 0 ? options_.urgent_locality_wait
+                                      : options_.locality_wait;
 }
 
-PlacementRequest Planner::Pass::RequestFor(const Unit& unit) {
+PlacementRequest Planner::Pass::RequestFor(const PendingStep& pending) {
   PlacementRequest request;
-  request.step = unit.spec;
-  request.service = unit.policy.service;
-  request.count = static_cast<int>(unit.waiting.size());
-  const TimePoint end = unit.step->ready_since + PatienceOf(unit);
-  request.anywhere = now_ >= end;
+  request.step = pending.spec;
+  request.service = pending.policy.service;
+  request.count = static_cast<int>(pending.waiting.size());
+  const TimePoint end = pending.step->ready_since + LocalityWaitOf(pending);
+  request.ignore_locality = now_ >= end;
   WakeAt(end);
-  request.avoided = &unit.step->failed_on;
-  for (const Task& task : unit.step->tasks) {
+  request.avoided = &pending.step->failed_on;
+  for (const Task& task : pending.step->tasks) {
     if (task.phase == TaskPhase::kAssigned)
-      ++request.used[task.incarnation.runner];
+      ++request.tasks_per_runner[task.incarnation.runner];
   }
-  if (unit.policy.priority == 0) {
+  if (pending.policy.priority == 0) {
     request.urgent_racks = UrgentRacks::kPreferred;
     request.prefers_fast = true;
-  } else if (!idle_ || !request.anywhere) {
+  } else if (!idle_ || !request.ignore_locality) {
     request.urgent_racks = UrgentRacks::kClosed;
   }
   return request;
 }
 
-bool Planner::Pass::MustNotFail(const Unit& unit, int failures) {
-  if (failures + 1 < unit.policy.max_attempts) return false;
+bool Planner::Pass::NeedsReliableRunner(const PendingStep& pending,
+                                        int failures) {
+  if (failures + 1 < pending.policy.max_attempts) return false;
   if (!idle_) return true;
-  const TimePoint end = unit.step->ready_since + options_.last_attempt_wait;
+  const TimePoint end = pending.step->ready_since + options_.last_attempt_wait;
   WakeAt(end);
   return now_ < end;
 }
 
-bool Planner::Pass::IsDue(const Unit& unit) {
-  if (unit.policy.priority == 0 || !unit.spec->gang) return true;
+bool Planner::Pass::IsTriedInThisPass(const PendingStep& pending) {
+  if (pending.policy.priority == 0 || !pending.spec->gang) return true;
   ++gangs_;
-  if (gangs_ <= options_.gangs_in_each_pass) return true;
-  return (gangs_ + planner_.passes_) % options_.passes_for_the_rest == 0;
+  if (gangs_ <= options_.gangs_per_pass) return true;
+  return (gangs_ + planner_.passes_) % options_.remaining_gangs_interval == 0;
 }
 
-bool Planner::Pass::IsBlocked(const Unit& unit) const {
-  if (unit.rank.entitled || !options_.policy->LetsNothingOvertake()) {
+bool Planner::Pass::IsBlocked(const PendingStep& pending) const {
+  if (pending.rank.within_guarantee || !options_.policy->ForbidsBackfill()) {
     return false;
   }
-  return misfits_.count(unit.policy.service) != 0;
+  return blocked_services_.count(pending.policy.service) != 0;
 }
 
-void Planner::Pass::Place(Unit* unit) {
+void Planner::Pass::Place(PendingStep* pending) {
   ++plan_.steps_tried;
   const std::size_t assigned = plan_.assignments.size();
-  PlacementRequest request = RequestFor(*unit);
+  PlacementRequest request = RequestFor(*pending);
   std::set<IncarnationId> allowed;
-  if (unit->policy.needs_advice) {
-    WishForAdvice(*unit, request);
-    allowed = advice_.Allowed(unit->key, now_);
+  if (pending->policy.needs_advice) {
+    RequestAdviceFor(*pending, request);
+    allowed = advice_.AllowedRunners(pending->key, now_);
     request.allowed = &allowed;
   }
-  if (unit->spec->gang) {
-    PlaceGang(unit, &request);
+  if (pending->spec->gang) {
+    PlaceGang(pending, &request);
   } else {
-    PlaceSingles(unit, &request);
+    PlaceTasks(pending, &request);
   }
-  const bool fits = plan_.assignments.size() - assigned == unit->waiting.size();
-  if (!fits && !unit->rank.entitled) misfits_.insert(unit->policy.service);
+  const bool fits =
+      plan_.assignments.size() - assigned == pending->waiting.size();
+  if (!fits && !pending->rank.within_guarantee)
+    blocked_services_.insert(pending->policy.service);
 }
 
-void Planner::Pass::WishForAdvice(const Unit& unit,
-                                  const PlacementRequest& request) {
+void Planner::Pass::RequestAdviceFor(const PendingStep& pending,
+                                     const PlacementRequest& request) {
   AdviceRequest wish;
-  wish.step = unit.key;
+  wish.step = pending.key;
   std::vector<IncarnationId> full;
-  for (const Candidate& seat : seating_.seats()) {
-    if (!CandidatePool::Suits(seat, request)) continue;
-    const bool fits = unit.spec->room().Fits(seat.room);
-    (fits ? wish.runners : full).push_back(seat.runner->incarnation());
+  for (const Candidate& candidate : pool_.candidates()) {
+    if (!CandidatePool::MeetsConstraints(candidate, request)) continue;
+    const bool fits = pending.spec->room().Fits(candidate.room);
+    (fits ? wish.runners : full).push_back(candidate.runner->incarnation());
   }
   wish.runners.insert(wish.runners.end(), full.begin(), full.end());
   plan_.advice_requests.push_back(std::move(wish));
 }
 
-Duration Planner::Pass::NearTimeOf(const Unit& unit) const {
-  return times_.Expect(unit.job->spec().queue, unit.spec->estimate);
+Duration Planner::Pass::ExpectedTimeNear(const PendingStep& pending) const {
+  return times_.ExpectedTime(pending.job->spec().queue, pending.spec->estimate);
 }
 
-bool Planner::Pass::IsDoneSoonerByWaiting(const Unit& unit,
-                                          const PlacementRequest& request) {
-  const bool may_be_far = unit.spec->same_rack || !unit.spec->data_rack.empty();
+bool Planner::Pass::FinishesSoonerByWaiting(const PendingStep& pending,
+                                            const PlacementRequest& request) {
+  const bool may_be_far =
+      pending.spec->same_rack || !pending.spec->data_rack.empty();
   // Urgent work has to begin within its guarantee.
-  if (!request.anywhere || !may_be_far || unit.policy.priority == 0) {
+  if (!request.ignore_locality || !may_be_far || pending.policy.priority == 0) {
     return false;
   }
-  // By the end of this, it would have been done anywhere.
-  const TimePoint longest_wait = unit.step->ready_since + PatienceOf(unit) +
-                                 NearTimeOf(unit) * (kFarFactor - 1);
+  // By the end of this, it would have been done ignore_locality.
+  const TimePoint longest_wait =
+      pending.step->ready_since + LocalityWaitOf(pending) +
+      ExpectedTimeNear(pending) * (kRemoteSlowdown - 1);
   if (now_ >= longest_wait) return false;
   const bool seems_forgotten =
-      now_ - unit.step->ready_since >= options_.beside_free_room &&
-      seating_.FitsTimes(request, 2);
+      now_ - pending.step->ready_since >=
+          options_.max_locality_wait_with_free_capacity &&
+      pool_.FitsMultiple(request, 2);
   if (seems_forgotten) return false;
   PlacementRequest near = request;
-  near.anywhere = false;
-  const std::optional<ComingRoom> coming = SoonestDone(unit, near);
-  return coming.has_value() && coming->until < NearTimeOf(unit) * kFarFactor;
+  near.ignore_locality = false;
+  const std::optional<CapacityForecast> forecast =
+      EarliestCompletion(pending, near);
+  return forecast.has_value() &&
+         forecast->until < ExpectedTimeNear(pending) * kRemoteSlowdown;
 }
 
-void Planner::Pass::SpareOthers(PlacementRequest* request) {
+void Planner::Pass::MinimizeWorkAtRisk(PlacementRequest* request) {
   request->is_suspect = true;
-  if (knows_risks_) return;
-  knows_risks_ = true;
-  for (Candidate& seat : seating_.seats()) {
-    for (const auto& [name, run] : seat.runner->runs()) {
-      seat.work_at_risk += CostOf(name, run);
+  if (work_at_risk_known_) return;
+  work_at_risk_known_ = true;
+  for (Candidate& candidate : pool_.candidates()) {
+    for (const auto& [name, run] : candidate.runner->runs()) {
+      candidate.work_at_risk += PreemptionCost(name, run);
     }
   }
 }
 
-void Planner::Pass::PlaceGang(Unit* unit, PlacementRequest* request) {
-  const bool has_suspect =
-      std::any_of(unit->waiting.begin(), unit->waiting.end(),
-                  [unit](int index) { return unit->IsSuspectTask(index); });
-  if (has_suspect) SpareOthers(request);
-  request->is_last_attempt = MustNotFail(*unit, unit->step->gang_failures);
-  if (IsDoneSoonerByWaiting(*unit, *request)) request->anywhere = false;
-  const std::vector<Candidate*> seats = PlaceAll(*unit, *request);
-  if (seats.empty()) {
-    MakeRoom(*unit, *request);
+void Planner::Pass::PlaceGang(PendingStep* pending, PlacementRequest* request) {
+  const bool has_suspect = std::any_of(
+      pending->waiting.begin(), pending->waiting.end(),
+      [pending](int index) { return pending->IsSuspectTask(index); });
+  if (has_suspect) MinimizeWorkAtRisk(request);
+  request->is_last_attempt =
+      NeedsReliableRunner(*pending, pending->step->gang_failures);
+  if (FinishesSoonerByWaiting(*pending, *request))
+    request->ignore_locality = false;
+  const std::vector<Candidate*> candidates = PlaceAll(*pending, *request);
+  if (candidates.empty()) {
+    AcquireCapacity(*pending, *request);
     return;
   }
-  const int run = unit->job->NextRun({unit->key.job, unit->key.occurrence,
-                                      unit->key.step, unit->waiting.front()});
+  const int run =
+      pending->job->NextRun({pending->key.job, pending->key.occurrence,
+                             pending->key.step, pending->waiting.front()});
   std::set<std::string> racks;
-  for (const Candidate* seat : seats) racks.insert(seat->rack);
-  const bool far = unit->spec->same_rack && racks.size() > 1;
-  for (std::size_t i = 0; i < seats.size(); ++i) {
-    Assign(*unit, unit->waiting[i], run, seats[i], far);
+  for (const Candidate* candidate : candidates) racks.insert(candidate->rack);
+  const bool far = pending->spec->same_rack && racks.size() > 1;
+  for (std::size_t i = 0; i < candidates.size(); ++i) {
+    Assign(*pending, pending->waiting[i], run, candidates[i], far);
   }
-  planner_.claims_.erase(unit->key);
+  planner_.reservations_.erase(pending->key);
 }
 
-bool Planner::Pass::LeavesHeadroom(const Unit& unit, int tasks) const {
+bool Planner::Pass::LeavesHeadroom(const PendingStep& pending,
+                                   int tasks) const {
   Resources idle;
-  for (const Candidate& seat : seating_.seats()) {
-    if (seat.urgent_rack) idle += seat.room;
+  for (const Candidate& candidate : pool_.candidates()) {
+    if (candidate.urgent_rack) idle += candidate.room;
   }
-  const double share =
-      IsShortOfTime(unit) ? options_.late_headroom : options_.urgent_headroom;
+  const double share = IsNearDeadline(pending) ? options_.late_headroom
+                                               : options_.urgent_headroom;
   const auto leaves = [share, tasks](std::int64_t need, std::int64_t free,
                                      std::int64_t all) {
     const auto left = static_cast<double>(free - need * tasks);
     return need == 0 || left >= share * static_cast<double>(all);
   };
-  const Resources& need = unit.spec->need;
+  const Resources& need = pending.spec->need;
   return leaves(need.accelerators, idle.accelerators,
-                urgent_room_.accelerators) &&
-         leaves(need.cpu_millis, idle.cpu_millis, urgent_room_.cpu_millis);
+                urgent_rack_capacity_.accelerators) &&
+         leaves(need.cpu_millis, idle.cpu_millis,
+                urgent_rack_capacity_.cpu_millis);
 }
 
 std::optional<PlacementRequest> Planner::Pass::WithUrgentRacks(
-    const Unit& unit, const PlacementRequest& request, int tasks) const {
+    const PendingStep& pending, const PlacementRequest& request,
+    int tasks) const {
   const bool closed = request.urgent_racks == UrgentRacks::kClosed;
-  if (!closed || !request.anywhere) return std::nullopt;
+  if (!closed || !request.ignore_locality) return std::nullopt;
   // What can not make way again would take the racks for good.
-  if (!unit.spec->preemptible()) return std::nullopt;
-  if (!LeavesHeadroom(unit, tasks)) return std::nullopt;
-  PlacementRequest wider = request;
-  wider.urgent_racks = UrgentRacks::kOpen;
-  return wider;
+  if (!pending.spec->preemptible()) return std::nullopt;
+  if (!LeavesHeadroom(pending, tasks)) return std::nullopt;
+  PlacementRequest widened = request;
+  widened.urgent_racks = UrgentRacks::kOpen;
+  return widened;
 }
 
-Candidate* Planner::Pass::PlaceOne(const Unit& unit,
+Candidate* Planner::Pass::PlaceOne(const PendingStep& pending,
                                    const PlacementRequest& request) {
-  Candidate* seat = seating_.PlaceOne(request);
-  if (seat != nullptr) return seat;
-  const std::optional<PlacementRequest> wider =
-      WithUrgentRacks(unit, request, 1);
-  return wider.has_value() ? seating_.PlaceOne(*wider) : nullptr;
+  Candidate* candidate = pool_.PlaceOne(request);
+  if (candidate != nullptr) return candidate;
+  const std::optional<PlacementRequest> widened =
+      WithUrgentRacks(pending, request, 1);
+  return widened.has_value() ? pool_.PlaceOne(*widened) : nullptr;
 }
 
 std::vector<Candidate*> Planner::Pass::PlaceAll(
-    const Unit& unit, const PlacementRequest& request) {
-  std::vector<Candidate*> seats = seating_.PlaceAll(request);
-  if (!seats.empty()) return seats;
-  const std::optional<PlacementRequest> wider =
-      WithUrgentRacks(unit, request, request.count);
-  return wider.has_value() ? seating_.PlaceAll(*wider) : seats;
+    const PendingStep& pending, const PlacementRequest& request) {
+  std::vector<Candidate*> candidates = pool_.PlaceAll(request);
+  if (!candidates.empty()) return candidates;
+  const std::optional<PlacementRequest> widened =
+      WithUrgentRacks(pending, request, request.count);
+  return widened.has_value() ? pool_.PlaceAll(*widened) : candidates;
 }
 
-bool Planner::Pass::FitsNowhere(const Unit& unit) const {
-  const auto found = fit_nowhere_.find(unit.policy.service);
-  if (found == fit_nowhere_.end()) return false;
+bool Planner::Pass::IsKnownNotToFit(const PendingStep& pending) const {
+  const auto found = unplaceable_.find(pending.policy.service);
+  if (found == unplaceable_.end()) return false;
   for (const Resources& need : found->second) {
-    if (need.Fits(unit.spec->room())) return true;
+    if (need.Fits(pending.spec->room())) return true;
   }
   return false;
 }
 
-void Planner::Pass::PlaceSingles(Unit* unit, PlacementRequest* request) {
-  if (FitsNowhere(*unit)) {
-    MakeRoom(*unit, *request);
+void Planner::Pass::PlaceTasks(PendingStep* pending,
+                               PlacementRequest* request) {
+  if (IsKnownNotToFit(*pending)) {
+    AcquireCapacity(*pending, *request);
     return;
   }
-  const SinglesPlaced placed = PlaceWhatFits(unit, request);
+  const TaskPlacementResult placed = PlaceFittingTasks(pending, request);
   request->count -= placed.tasks;
-  request->is_last_attempt = placed.held == request->count;
-  const bool nothing_fits = placed.tasks == 0 && placed.held == 0;
-  if (nothing_fits && IsPlain(*unit, *request)) {
-    fit_nowhere_[unit->policy.service].push_back(unit->spec->room());
+  request->is_last_attempt = placed.deferred == request->count;
+  const bool nothing_fits = placed.tasks == 0 && placed.deferred == 0;
+  if (nothing_fits && IsUnconstrained(*pending, *request)) {
+    unplaceable_[pending->policy.service].push_back(pending->spec->room());
   }
   if (request->count == 0) {
-    planner_.claims_.erase(unit->key);
+    planner_.reservations_.erase(pending->key);
   } else {
-    MakeRoom(*unit, *request);
+    AcquireCapacity(*pending, *request);
   }
 }
 
-Planner::Pass::SinglesPlaced Planner::Pass::PlaceWhatFits(
-    Unit* unit, PlacementRequest* request) {
-  SinglesPlaced placed;
-  for (const int index : unit->waiting) {
+Planner::Pass::TaskPlacementResult Planner::Pass::PlaceFittingTasks(
+    PendingStep* pending, PlacementRequest* request) {
+  TaskPlacementResult placed;
+  for (const int index : pending->waiting) {
     request->is_suspect = false;
-    if (unit->IsSuspectTask(index)) SpareOthers(request);
+    if (pending->IsSuspectTask(index)) MinimizeWorkAtRisk(request);
     request->is_last_attempt =
-        MustNotFail(*unit, unit->step->tasks[index].failures);
+        NeedsReliableRunner(*pending, pending->step->tasks[index].failures);
     // Others of the step may fit where last attempts must not go.
-    const bool held_too = request->is_last_attempt && placed.held > 0;
-    Candidate* seat = held_too ? nullptr : PlaceOne(*unit, *request);
-    if (seat == nullptr && request->is_last_attempt) {
-      ++placed.held;
+    const bool also_deferred = request->is_last_attempt && placed.deferred > 0;
+    Candidate* candidate =
+        also_deferred ? nullptr : PlaceOne(*pending, *request);
+    if (candidate == nullptr && request->is_last_attempt) {
+      ++placed.deferred;
       continue;
     }
-    if (seat == nullptr) break;
-    ++request->used[seat->runner->id()];
-    const int run = unit->step->tasks[index].run + 1;
-    Assign(*unit, index, run, seat, false);
+    if (candidate == nullptr) break;
+    ++request->tasks_per_runner[candidate->runner->id()];
+    const int run = pending->step->tasks[index].run + 1;
+    Assign(*pending, index, run, candidate, false);
     ++placed.tasks;
   }
   return placed;
 }
 
-bool Planner::Pass::IsPlain(const Unit& unit, const PlacementRequest& request) {
-  return request.allowed == nullptr && request.anywhere &&
+bool Planner::Pass::IsUnconstrained(const PendingStep& pending,
+                                    const PlacementRequest& request) {
+  return request.allowed == nullptr && request.ignore_locality &&
          request.urgent_racks != UrgentRacks::kClosed &&
-         unit.spec->required_label.empty() &&
-         unit.spec->sharing() == Sharing::kNone &&
-         unit.spec->max_per_runner == 0;
+         pending.spec->required_label.empty() &&
+         pending.spec->sharing() == Sharing::kNone &&
+         pending.spec->max_per_runner == 0;
 }
 
-void Planner::Pass::Assign(const Unit& unit, int index, int run,
-                           Candidate* seat, bool spread) {
-  const StepSpec& spec = *unit.spec;
-  const bool off_data = !spec.data_rack.empty() &&
-                        seat->runner->info().labels.count(spec.data_rack) == 0;
+void Planner::Pass::Assign(const PendingStep& pending, int index, int run,
+                           Candidate* candidate, bool spread) {
+  const StepSpec& spec = *pending.spec;
+  const bool off_data =
+      !spec.data_rack.empty() &&
+      candidate->runner->info().labels.count(spec.data_rack) == 0;
   const bool far = spread || off_data;
-  const Duration near_time = NearTimeOf(unit);
-  const Duration expected = far ? near_time * kFarFactor : near_time;
+  const Duration near_time = ExpectedTimeNear(pending);
+  const Duration expected = far ? near_time * kRemoteSlowdown : near_time;
   plan_.assignments.push_back(
-      {{unit.key.job, unit.key.occurrence, unit.key.step, index},
+      {{pending.key.job, pending.key.occurrence, pending.key.step, index},
        run,
-       seat->runner,
+       candidate->runner,
        expected,
        near_time});
 }
--- a/src/dispatch/planner_preemption.cc
+++ b/src/dispatch/planner_preemption.cc
@@ -21,77 +21,80 @@
 
 }  // namespace
 
-void Planner::Pass::MakeRoom(const Unit& unit,
-                             const PlacementRequest& request) {
-  const auto claim = planner_.claims_.find(unit.key);
-  if (claim != planner_.claims_.end()) {
-    const TimePoint end = claim->second.since + options_.reservation_time;
+void Planner::Pass::AcquireCapacity(const PendingStep& pending,
+                                    const PlacementRequest& request) {
+  const auto reservation = planner_.reservations_.find(pending.key);
+  if (reservation != planner_.reservations_.end()) {
+    const TimePoint end = reservation->second.since + options_.reservation_time;
     if (now_ < end) {
       WakeAt(end);
-      Keep(unit, claim->second.runners);
-      NoteWait(unit, WaitReason::kRoomIsMade);
+      ReserveOn(pending, reservation->second.runners);
+      RecordWait(pending, WaitReason::kPreempting);
       return;
     }
-    planner_.claims_.erase(claim);
+    planner_.reservations_.erase(reservation);
   }
-  NoteWait(unit, SeekRoom(unit, request));
+  RecordWait(pending, PreemptOrReserve(pending, request));
 }
 
-WaitReason Planner::Pass::SeekRoom(const Unit& unit,
-                                   const PlacementRequest& request) {
+WaitReason Planner::Pass::PreemptOrReserve(const PendingStep& pending,
+                                           const PlacementRequest& request) {
   if (request.allowed != nullptr && request.allowed->empty()) {
     return WaitReason::kNoTickets;
   }
-  if (unit.spec->sharing() == Sharing::kLatencySensitive) {
-    return ClearOfFillers(unit, request);
+  if (pending.spec->sharing() == Sharing::kLatencySensitive) {
+    return PreemptFillers(pending, request);
   }
   WaitReason reason = WaitReason::kNoCapacity;
-  if (MayDisplaceOthers(unit)) {
-    reason = Displace(unit, request);
+  if (MayPreemptAny(pending)) {
+    reason = Preempt(pending, request);
     // Nothing is above urgent work, so that it need not keep what is free.
-    if (unit.policy.priority == 0) return reason;
+    if (pending.policy.priority == 0) return reason;
   }
-  const bool waits = reason != WaitReason::kRoomIsMade && unit.spec->gang;
-  if (waits && KeepForGang(unit, request)) return WaitReason::kRoomIsKept;
+  const bool waits = reason != WaitReason::kPreempting && pending.spec->gang;
+  if (waits && ReserveForGang(pending, request))
+    return WaitReason::kCapacityReserved;
   return reason;
 }
 
-bool Planner::Pass::MayDisplaceOthers(const Unit& unit) {
-  if (!knows_free_room_) return false;
-  if (unit.rank.entitled) return true;
-  if (unit.policy.priority == 0) {
-    return options_.policy->DisplacesBeyondGuarantee();
+bool Planner::Pass::MayPreemptAny(const PendingStep& pending) {
+  if (!free_capacity_known_) return false;
+  if (pending.rank.within_guarantee) return true;
+  if (pending.policy.priority == 0) {
+    return options_.policy->PreemptsBeyondGuarantee();
   }
-  return options_.policy->DisplacesUnderPressure() && IsPressed(unit);
+  return options_.policy->PreemptsNearDeadline() &&
+         MayPreemptForDeadline(pending);
 }
 
-bool Planner::Pass::IsShortOfTime(const Unit& unit) const {
-  return Duration(unit.latest_start_wall_ms - wall_ms_) <=
+bool Planner::Pass::IsNearDeadline(const PendingStep& pending) const {
+  return Duration(pending.latest_start_wall_ms - wall_ms_) <=
          options_.deadline_margin;
 }
 
-bool Planner::Pass::IsPressed(const Unit& unit) {
-  if (!IsShortOfTime(unit)) {
-    const Duration left(unit.latest_start_wall_ms - wall_ms_);
+bool Planner::Pass::MayPreemptForDeadline(const PendingStep& pending) {
+  if (!IsNearDeadline(pending)) {
+    const Duration left(pending.latest_start_wall_ms - wall_ms_);
     WakeAt(now_ + left - options_.deadline_margin);
     return false;
   }
   // Late work is still of worth, and would wait behind lower priorities that
   // took its place: on the most loaded of fourteen days, gangs of a middle
   // queue earned 0.32 of what they could by this, 0.27 without.
-  return unit.rank.outlook != Outlook::kHopeless;
+  return pending.rank.deadline_status != DeadlineStatus::kWorthless;
 }
 
-void Planner::Pass::Keep(const Unit& unit,
-                         const std::vector<RunnerId>& runners) {
+void Planner::Pass::ReserveOn(const PendingStep& pending,
+                              const std::vector<RunnerId>& runners) {
   for (const RunnerId& id : runners) {
-    for (Candidate& seat : seating_.seats()) {
-      if (seat.runner->id() == id) seat.room -= unit.spec->room();
+    for (Candidate& candidate : pool_.candidates()) {
+      if (candidate.runner->id() == id) candidate.room -= pending.spec->room();
     }
   }
 }
 
-std::int64_t Planner::Pass::CostOf(const TaskName& name, const Run& run) {
+std::int64_t Planner::Pass::PreemptionCost(const TaskName& name,
+                                           const Run& run) {
   const Job* job = jobs_.Find(name.job);
   if (job == nullptr) return 0;
   const StepSpec& spec = job->step_spec(name.step);
@@ -107,134 +110,140 @@
   return cores / kMillisPerCore * (lost.ms() + 1) * members * weight;
 }
 
-bool Planner::Pass::MayDisplace(const Unit& unit, const TaskName& name,
-                                const Run& run) {
-  if (run.stopping || displaced_.count(name) != 0) return false;
+bool Planner::Pass::MayPreempt(const PendingStep& pending, const TaskName& name,
+                               const Run& run) {
+  if (run.stopping || preempted_.count(name) != 0) return false;
   Job* job = jobs_.Find(name.job);
   if (job == nullptr) return false;
   const StepSpec& step = job->step_spec(name.step);
   if (!step.preemptible()) return false;
-  if (unit.rank.entitled) return entitled_.count(name.job) == 0;
-  return PolicyOf(*job, catalog_).priority > unit.policy.priority;
+  if (pending.rank.within_guarantee)
+    return jobs_within_guarantee_.count(name.job) == 0;
+  return PolicyOf(*job, catalog_).priority > pending.policy.priority;
 }
 
-std::vector<Planner::Pass::Opening> Planner::Pass::OpeningsOn(const Unit& unit,
-                                                              Candidate* seat,
-                                                              int limit) {
-  const Resources need = unit.spec->room();
+std::vector<Planner::Pass::PreemptionOption> Planner::Pass::PreemptionOptionsOn(
+    const PendingStep& pending, Candidate* candidate, int limit) {
+  const Resources need = pending.spec->room();
   std::vector<std::pair<std::int64_t, TaskName>> victims;
-  for (const auto& [name, run] : seat->runner->runs()) {
-    if (!MayDisplace(unit, name, run)) continue;
-    victims.emplace_back(CostOf(name, run), name);
+  for (const auto& [name, run] : candidate->runner->runs()) {
+    if (!MayPreempt(pending, name, run)) continue;
+    victims.emplace_back(PreemptionCost(name, run), name);
   }
   std::sort(victims.begin(), victims.end());
-  Resources room = seat->room;
-  room += seat->releasing;
-  std::vector<Opening> openings;
+  Resources room = candidate->room;
+  room += candidate->releasing;
+  std::vector<PreemptionOption> options;
   std::size_t next = 0;
-  while (static_cast<int>(openings.size()) < limit) {
-    Opening opening;
-    opening.seat = seat;
+  while (static_cast<int>(options.size()) < limit) {
+    PreemptionOption option;
+    option.candidate = candidate;
     while (!need.Fits(room) && next < victims.size()) {
-      opening.cost += victims[next].first;
-      opening.victims.push_back(victims[next].second);
-      room += seat->runner->runs().at(victims[next].second).need;
+      option.cost += victims[next].first;
+      option.victims.push_back(victims[next].second);
+      room += candidate->runner->runs().at(victims[next].second).need;
       ++next;
     }
     if (!need.Fits(room)) break;
     room -= need;
-    openings.push_back(std::move(opening));
+    options.push_back(std::move(option));
   }
-  return openings;
+  return options;
 }
 
-std::vector<Planner::Pass::OpeningRow> Planner::Pass::OpeningRowsOn(
-    const Unit& unit, Candidate* seat, int limit) {
-  std::vector<OpeningRow> rows;
-  for (Opening& opening : OpeningsOn(unit, seat, limit)) {
-    OpeningRow row;
-    row.cost = opening.cost;
-    row.openings.push_back(std::move(opening));
-    while (!rows.empty() && row.mean_cost() < rows.back().mean_cost()) {
-      OpeningRow joined = std::move(rows.back());
-      rows.pop_back();
-      joined.cost += row.cost;
-      joined.openings.insert(joined.openings.end(),
-                             std::make_move_iterator(row.openings.begin()),
-                             std::make_move_iterator(row.openings.end()));
-      row = std::move(joined);
+std::vector<Planner::Pass::PreemptionSequence>
+Planner::Pass::PreemptionSequencesOn(const PendingStep& pending,
+                                     Candidate* candidate, int limit) {
+  std::vector<PreemptionSequence> sequences;
+  for (PreemptionOption& option :
+       PreemptionOptionsOn(pending, candidate, limit)) {
+    PreemptionSequence sequence;
+    sequence.cost = option.cost;
+    sequence.options.push_back(std::move(option));
+    while (!sequences.empty() &&
+           sequence.mean_cost() < sequences.back().mean_cost()) {
+      PreemptionSequence joined = std::move(sequences.back());
+      sequences.pop_back();
+      joined.cost += sequence.cost;
+      joined.options.insert(joined.options.end(),
+                            std::make_move_iterator(sequence.options.begin()),
+                            std::make_move_iterator(sequence.options.end()));
+      sequence = std::move(joined);
     }
-    rows.push_back(std::move(row));
+    sequences.push_back(std::move(sequence));
   }
-  return rows;
+  return sequences;
 }
 
-std::vector<Planner::Pass::Opening> Planner::Pass::CheapestOpenings(
-    const Unit& unit, const std::vector<Candidate*>& seats,
+std::vector<Planner::Pass::PreemptionOption> Planner::Pass::CheapestOptions(
+    const PendingStep& pending, const std::vector<Candidate*>& candidates,
     const PlacementRequest& request) {
   const int per_seat =
       request.step->max_per_runner > 0
           ? std::min(request.step->max_per_runner, request.count)
           : request.count;
-  std::vector<OpeningRow> rows;
-  for (Candidate* seat : seats) {
-    std::vector<OpeningRow> own = OpeningRowsOn(unit, seat, per_seat);
-    rows.insert(rows.end(), std::make_move_iterator(own.begin()),
-                std::make_move_iterator(own.end()));
+  std::vector<PreemptionSequence> sequences;
+  for (Candidate* candidate : candidates) {
+    std::vector<PreemptionSequence> own =
+        PreemptionSequencesOn(pending, candidate, per_seat);
+    sequences.insert(sequences.end(), std::make_move_iterator(own.begin()),
+                     std::make_move_iterator(own.end()));
   }
-  // Rows of one seat stay in their order.
-  std::stable_sort(rows.begin(), rows.end(),
-                   [](const OpeningRow& a, const OpeningRow& b) {
-                     return a.mean_cost() < b.mean_cost();
-                   });
-  std::vector<Opening> openings;
-  for (OpeningRow& row : rows) {
-    openings.insert(openings.end(),
-                    std::make_move_iterator(row.openings.begin()),
-                    std::make_move_iterator(row.openings.end()));
-    if (static_cast<int>(openings.size()) < request.count) continue;
-    openings.resize(request.count);
-    return openings;
+  // Rows of one candidate stay in their order.
+  std::stable_sort(
+      sequences.begin(), sequences.end(),
+      [](const PreemptionSequence& a, const PreemptionSequence& b) {
+        return a.mean_cost() < b.mean_cost();
+      });
+  std::vector<PreemptionOption> options;
+  for (PreemptionSequence& sequence : sequences) {
+    options.insert(options.end(),
+                   std::make_move_iterator(sequence.options.begin()),
+                   std::make_move_iterator(sequence.options.end()));
+    if (static_cast<int>(options.size()) < request.count) continue;
+    options.resize(request.count);
+    return options;
   }
   return {};
 }
 
-std::map<std::string, std::vector<Candidate*>> Planner::Pass::GroupSeats(
-    const Unit& unit, const PlacementRequest& request) {
+std::map<std::string, std::vector<Candidate*>> Planner::Pass::GroupCandidates(
+    const PendingStep& pending, const PlacementRequest& request) {
   std::map<std::string, std::vector<Candidate*>> groups;
-  const bool one_rack = unit.spec->gang && unit.spec->same_rack;
-  for (Candidate& seat : seating_.seats()) {
-    if (!CandidatePool::Suits(seat, request)) continue;
-    if (one_rack) groups[seat.rack].push_back(&seat);
+  const bool one_rack = pending.spec->gang && pending.spec->same_rack;
+  for (Candidate& candidate : pool_.candidates()) {
+    if (!CandidatePool::MeetsConstraints(candidate, request)) continue;
+    if (one_rack) groups[candidate.rack].push_back(&candidate);
     // The key of no rack: all of them.
-    if (!one_rack || request.anywhere) groups[""].push_back(&seat);
+    if (!one_rack || request.ignore_locality) groups[""].push_back(&candidate);
   }
   return groups;
 }
 
-WaitReason Planner::Pass::Displace(const Unit& unit,
-                                   const PlacementRequest& request) {
-  std::vector<Opening> best;
+WaitReason Planner::Pass::Preempt(const PendingStep& pending,
+                                  const PlacementRequest& request) {
+  std::vector<PreemptionOption> best;
   std::int64_t best_cost = std::numeric_limits<std::int64_t>::max();
-  for (const auto& [rack, seats] : GroupSeats(unit, request)) {
-    std::vector<Opening> openings = CheapestOpenings(unit, seats, request);
-    if (openings.empty()) continue;
+  for (const auto& [rack, candidates] : GroupCandidates(pending, request)) {
+    std::vector<PreemptionOption> options =
+        CheapestOptions(pending, candidates, request);
+    if (options.empty()) continue;
     std::int64_t cost = 0;
-    for (const Opening& opening : openings) cost += opening.cost;
+    for (const PreemptionOption& option : options) cost += option.cost;
     if (cost >= best_cost) continue;
     best_cost = cost;
-    best = std::move(openings);
+    best = std::move(options);
   }
-  if (best.empty()) return WaitReason::kNothingMakesWay;
-  TakeOpenings(unit, best);
-  return WaitReason::kRoomIsMade;
+  if (best.empty()) return WaitReason::kNotEnoughPreemptible;
+  CommitPreemptions(pending, best);
+  return WaitReason::kPreempting;
 }
 
-bool Planner::Pass::ListFillers(const Candidate& seat,
-                                std::vector<TaskName>* best_effort_runs) {
-  for (const auto& [name, run] : seat.runner->runs()) {
+bool Planner::Pass::ListPreemptibleFillers(
+    const Candidate& candidate, std::vector<TaskName>* best_effort_runs) {
+  for (const auto& [name, run] : candidate.runner->runs()) {
     if (run.sharing != Sharing::kBestEffort || run.stopping) continue;
-    if (displaced_.count(name) != 0) continue;
+    if (preempted_.count(name) != 0) continue;
     const Job* job = jobs_.Find(name.job);
     const bool may_stop =
         job != nullptr && !job->step_spec(name.step).limits_unavailability();
@@ -244,112 +253,122 @@
   return true;
 }
 
-WaitReason Planner::Pass::ClearOfFillers(const Unit& unit,
+WaitReason Planner::Pass::PreemptFillers(const PendingStep& pending,
                                          const PlacementRequest& request) {
-  std::vector<Opening> openings;
-  for (Candidate& seat : seating_.seats()) {
-    if (static_cast<int>(openings.size()) == request.count) break;
-    Candidate cleared = seat;
+  std::vector<PreemptionOption> options;
+  for (Candidate& candidate : pool_.candidates()) {
+    if (static_cast<int>(options.size()) == request.count) break;
+    Candidate cleared = candidate;
     cleared.best_effort_runs = 0;
-    if (seat.best_effort_runs == 0 || !CandidatePool::Suits(cleared, request))
+    if (candidate.best_effort_runs == 0 ||
+        !CandidatePool::MeetsConstraints(cleared, request))
       continue;
-    Opening opening;
-    opening.seat = &seat;
-    if (!ListFillers(seat, &opening.victims)) continue;
-    for (const TaskName& name : opening.victims) {
-      cleared.room += seat.runner->runs().at(name).need;
+    PreemptionOption option;
+    option.candidate = &candidate;
+    if (!ListPreemptibleFillers(candidate, &option.victims)) continue;
+    for (const TaskName& name : option.victims) {
+      cleared.room += candidate.runner->runs().at(name).need;
     }
-    if (unit.spec->room().Fits(cleared.room)) {
-      openings.push_back(std::move(opening));
+    if (pending.spec->room().Fits(cleared.room)) {
+      options.push_back(std::move(option));
     }
   }
-  if (openings.empty()) return WaitReason::kNothingMakesWay;
-  TakeOpenings(unit, openings);
-  return WaitReason::kRoomIsMade;
+  if (options.empty()) return WaitReason::kNotEnoughPreemptible;
+  CommitPreemptions(pending, options);
+  return WaitReason::kPreempting;
 }
 
-void Planner::Pass::TakeOpenings(const Unit& unit,
-                                 const std::vector<Opening>& openings) {
-  Claim claim;
-  claim.since = now_;
-  for (const Opening& opening : openings) {
-    const Runner& runner = *opening.seat->runner;
-    claim.runners.push_back(runner.id());
-    for (const TaskName& victim : opening.victims) {
-      displaced_.insert(victim);
-      plan_.preemptions.push_back({victim, runner.incarnation(), unit.key.job});
+void Planner::Pass::CommitPreemptions(
+    const PendingStep& pending, const std::vector<PreemptionOption>& options) {
+  Reservation reservation;
+  reservation.since = now_;
+  for (const PreemptionOption& option : options) {
+    const Runner& runner = *option.candidate->runner;
+    reservation.runners.push_back(runner.id());
+    for (const TaskName& victim : option.victims) {
+      preempted_.insert(victim);
+      plan_.preemptions.push_back(
+          {victim, runner.incarnation(), pending.key.job});
     }
   }
   WakeAt(now_ + options_.reservation_time);
-  Keep(unit, claim.runners);
-  planner_.claims_[unit.key] = std::move(claim);
+  ReserveOn(pending, reservation.runners);
+  planner_.reservations_[pending.key] = std::move(reservation);
 }
 
-bool Planner::Pass::KeepForGang(const Unit& unit,
-                                const PlacementRequest& request) {
+bool Planner::Pass::ReserveForGang(const PendingStep& pending,
+                                   const PlacementRequest& request) {
   const TimePoint from =
-      unit.step->ready_since + options_.gang_reservation_delay;
+      pending.step->ready_since + options_.gang_reservation_delay;
   if (now_ < from) {
     WakeAt(from);
     return false;
   }
-  const int most_kept = options_.policy->KeptGangs(options_.max_reserved_gangs);
-  const bool worthless = unit.rank.outlook == Outlook::kHopeless;
-  if (worthless || kept_ >= most_kept) return false;
-  const std::optional<ComingRoom> releasing = SoonestDone(unit, request);
-  if (!releasing.has_value()) return false;
-  ++kept_;
-  for (Candidate* seat : releasing->seats) seat->room -= unit.spec->room();
+  const int limit =
+      options_.policy->MaxReservedGangs(options_.max_reserved_gangs);
+  const bool worthless =
+      pending.rank.deadline_status == DeadlineStatus::kWorthless;
+  if (worthless || reserved_gangs_ >= limit) return false;
+  const std::optional<CapacityForecast> forecast =
+      EarliestCompletion(pending, request);
+  if (!forecast.has_value()) return false;
+  ++reserved_gangs_;
+  for (Candidate* candidate : forecast->candidates)
+    candidate->room -= pending.spec->room();
   return true;
 }
 
-std::optional<Planner::Pass::ComingRoom> Planner::Pass::SoonestDone(
-    const Unit& unit, const PlacementRequest& request) {
-  std::optional<ComingRoom> best;
-  for (const auto& [rack, seats] : GroupSeats(unit, request)) {
-    std::optional<ComingRoom> releasing = SoonestRoom(seats, request);
-    if (!releasing.has_value()) continue;
-    const bool spread = unit.spec->same_rack && rack.empty();
-    releasing->until =
-        releasing->until + NearTimeOf(unit) * (spread ? kFarFactor : 1);
-    if (best.has_value() && best->until <= releasing->until) continue;
-    best = std::move(releasing);
+std::optional<Planner::Pass::CapacityForecast>
+Planner::Pass::EarliestCompletion(const PendingStep& pending,
+                                  const PlacementRequest& request) {
+  std::optional<CapacityForecast> best;
+  for (const auto& [rack, candidates] : GroupCandidates(pending, request)) {
+    std::optional<CapacityForecast> forecast =
+        EarliestCapacity(candidates, request);
+    if (!forecast.has_value()) continue;
+    const bool spread = pending.spec->same_rack && rack.empty();
+    forecast->until = forecast->until + ExpectedTimeNear(pending) *
+                                            (spread ? kRemoteSlowdown : 1);
+    if (best.has_value() && best->until <= forecast->until) continue;
+    best = std::move(forecast);
   }
   return best;
 }
 
-std::optional<Planner::Pass::ComingRoom> Planner::Pass::SoonestRoom(
-    const std::vector<Candidate*>& seats, const PlacementRequest& request) {
+std::optional<Planner::Pass::CapacityForecast> Planner::Pass::EarliestCapacity(
+    const std::vector<Candidate*>& candidates,
+    const PlacementRequest& request) {
   std::vector<std::pair<Duration, Candidate*>> places;
-  for (Candidate* seat : seats) AddComingPlaces(seat, request, &places);
+  for (Candidate* candidate : candidates)
+    AddFuturePlaces(candidate, request, &places);
   if (static_cast<int>(places.size()) < request.count) return std::nullopt;
   std::stable_sort(
       places.begin(), places.end(),
       [](const auto& a, const auto& b) { return a.first < b.first; });
-  ComingRoom releasing;
-  releasing.until = places[request.count - 1].first;
+  CapacityForecast forecast;
+  forecast.until = places[request.count - 1].first;
   for (int i = 0; i < request.count; ++i) {
-    releasing.seats.push_back(places[i].second);
+    forecast.candidates.push_back(places[i].second);
   }
-  return releasing;
+  return forecast;
 }
 
-void Planner::Pass::AddComingPlaces(
-    Candidate* seat, const PlacementRequest& request,
+void Planner::Pass::AddFuturePlaces(
+    Candidate* candidate, const PlacementRequest& request,
     std::vector<std::pair<Duration, Candidate*>>* places) {
   std::vector<std::pair<Duration, Resources>> ends;
-  for (const auto& [name, run] : seat->runner->runs()) {
+  for (const auto& [name, run] : candidate->runner->runs()) {
     ends.emplace_back(TimeLeft(run, now_), run.need);
   }
   std::sort(ends.begin(), ends.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
-  Resources room = seat->room;
+  Resources room = candidate->room;
   Duration at;
   std::size_t next = 0;
   for (int found = 0; found < request.count;) {
     if (request.step->room().Fits(room)) {
       room -= request.step->room();
-      places->emplace_back(at, seat);
+      places->emplace_back(at, candidate);
       ++found;
     } else if (next < ends.size()) {
       at = ends[next].first;
@@ -361,10 +380,11 @@
   }
 }
 
-void Planner::Pass::DropOldClaims() {
-  for (auto it = planner_.claims_.begin(); it != planner_.claims_.end();) {
+void Planner::Pass::DropExpiredReservations() {
+  for (auto it = planner_.reservations_.begin();
+       it != planner_.reservations_.end();) {
     const bool old = now_ - it->second.since > options_.reservation_time * 2;
-    it = old ? planner_.claims_.erase(it) : std::next(it);
+    it = old ? planner_.reservations_.erase(it) : std::next(it);
   }
 }
 
--- a/src/dispatch/planner_steps.cc
+++ b/src/dispatch/planner_steps.cc
@@ -1,5 +1,6 @@
 /// @file
-/// The planner's units: which steps have tasks to start, and in which order.
+/// The planner's pending_steps: which steps have tasks to start, and in which
+/// order.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -25,24 +26,24 @@
 
 }  // namespace
 
-void Planner::Pass::SetUrgentRacksApart() {
-  std::vector<std::int64_t> size_of_rack(seating_.racks());
+void Planner::Pass::SelectUrgentRacks() {
+  std::vector<std::int64_t> size_of_rack(pool_.rack_count());
   std::map<std::string_view, std::size_t> number_of_rack;
   std::int64_t runners = 0;
   std::int64_t all = 0;
   std::int64_t free = 0;
-  for (const Candidate& seat : seating_.seats()) {
-    if (size_of_rack[seat.rack_number]++ == 0) {
-      number_of_rack[seat.rack] = seat.rack_number;
+  for (const Candidate& candidate : pool_.candidates()) {
+    if (size_of_rack[candidate.rack_number]++ == 0) {
+      number_of_rack[candidate.rack] = candidate.rack_number;
     }
     ++runners;
-    all += seat.runner->info().room.accelerators;
-    free += seat.room.accelerators;
+    all += candidate.runner->info().room.accelerators;
+    free += candidate.room.accelerators;
   }
   const double used = static_cast<double>(all - free);
   idle_ = used < options_.idle_share * static_cast<double>(all);
   double left = options_.urgent_share * static_cast<double>(runners);
-  std::vector<bool> is_urgent(seating_.racks());
+  std::vector<bool> is_urgent(pool_.rack_count());
   for (const auto& [rack, number] : number_of_rack) {
     const auto size = static_cast<double>(size_of_rack[number]);
     left -= size;
@@ -50,20 +51,21 @@
     if (left < -size / 2) break;
     is_urgent[number] = true;
   }
-  for (Candidate& seat : seating_.seats()) {
-    seat.urgent_rack = is_urgent[seat.rack_number];
-    if (seat.urgent_rack) urgent_room_ += seat.runner->info().room;
+  for (Candidate& candidate : pool_.candidates()) {
+    candidate.urgent_rack = is_urgent[candidate.rack_number];
+    if (candidate.urgent_rack)
+      urgent_rack_capacity_ += candidate.runner->info().room;
   }
 }
 
-std::set<JobId> Planner::Pass::FindEntitled() {
+std::set<JobId> Planner::Pass::FindJobsWithinGuarantee() {
   std::map<std::string, std::vector<const Job*>> urgent;
   for (const JobId& id : jobs_.active()) {
     const Job* job = jobs_.Find(id);
     if (PolicyOf(*job, catalog_).priority != 0) continue;
     urgent[job->spec().workspace.value()].push_back(job);
   }
-  std::set<JobId> entitled;
+  std::set<JobId> within_guarantee;
   for (auto& [name, jobs] : urgent) {
     const auto found = catalog_.workspaces.find(WorkspaceId(name));
     if (found == catalog_.workspaces.end()) continue;
@@ -75,14 +77,14 @@
       const std::int64_t need = Accelerators(job->spec());
       if (need > left) continue;
       left -= need;
-      entitled.insert(job->spec().id);
+      within_guarantee.insert(job->spec().id);
     }
   }
-  return entitled;
+  return within_guarantee;
 }
 
-void Planner::Pass::CollectUnits() {
-  entitled_ = FindEntitled();
+void Planner::Pass::CollectPendingSteps() {
+  jobs_within_guarantee_ = FindJobsWithinGuarantee();
   for (const JobId& id : jobs_.active()) {
     Job* job = jobs_.Find(id);
     if (IsFinal(job->state()) || job->cancel_requested()) continue;
@@ -105,8 +107,8 @@
   }
 }
 
-bool Planner::Pass::MayOverfill(const ServiceId& service) const {
-  if (jobs_.HasReadAllPartitions() && knows_rooms_) return false;
+bool Planner::Pass::MayOvercommit(const ServiceId& service) const {
+  if (jobs_.HasReadAllPartitions() && capacities_known_) return false;
   const auto found = catalog_.services.find(service);
   return found == catalog_.services.end() || !found->second.enforces_capacity;
 }
@@ -114,13 +116,13 @@
 void Planner::Pass::CollectStep(Job* job, int number, int index) {
   Occurrence& occurrence = job->occurrences()[number];
   Step& step = occurrence.steps[index];
-  Unit unit;
+  PendingStep pending;
   for (std::size_t i = 0; i < step.tasks.size(); ++i) {
     const Task& task = step.tasks[i];
     const bool waits = task.phase == TaskPhase::kWaiting && !task.held_back;
-    if (waits) unit.waiting.push_back(static_cast<int>(i));
+    if (waits) pending.waiting.push_back(static_cast<int>(i));
   }
-  if (unit.waiting.empty()) {
+  if (pending.waiting.empty()) {
     step.ready = false;
     return;
   }
@@ -128,59 +130,59 @@
     step.ready = true;
     step.ready_since = now_;
   }
-  unit.key = {job->spec().id, number, index};
-  unit.job = job;
-  unit.step = &step;
-  unit.spec = &job->step_spec(index);
+  pending.key = {job->spec().id, number, index};
+  pending.job = job;
+  pending.step = &step;
+  pending.spec = &job->step_spec(index);
   // A gang starts anew only when the last of its old runs is over.
-  if (unit.spec->gang && unit.waiting.size() != step.tasks.size()) return;
-  unit.policy = PolicyOf(*job, catalog_);
-  if (MayOverfill(unit.policy.service)) return;
-  SetOrder(occurrence, index, &unit);
-  units_.push_back(std::move(unit));
+  if (pending.spec->gang && pending.waiting.size() != step.tasks.size()) return;
+  pending.policy = PolicyOf(*job, catalog_);
+  if (MayOvercommit(pending.policy.service)) return;
+  SetRank(occurrence, index, &pending);
+  pending_steps_.push_back(std::move(pending));
 }
 
-void Planner::Pass::SetOrder(const Occurrence& occurrence, int step,
-                             Unit* unit) {
-  const JobSpec& spec = unit->job->spec();
-  unit->rank.entitled = entitled_.count(spec.id) != 0;
-  unit->rank.guarantee_runs_out =
-      unit->rank.entitled &&
-      now_ - unit->step->ready_since >= options_.reservation_time;
-  unit->rank.name = unit->key;
-  unit->rank.priority = unit->policy.priority;
-  unit->rank.accepted_wall_ms = spec.accepted_wall_ms;
+void Planner::Pass::SetRank(const Occurrence& occurrence, int step,
+                            PendingStep* pending) {
+  const JobSpec& spec = pending->job->spec();
+  pending->rank.within_guarantee = jobs_within_guarantee_.count(spec.id) != 0;
+  pending->rank.guarantee_expiring =
+      pending->rank.within_guarantee &&
+      now_ - pending->step->ready_since >= options_.reservation_time;
+  pending->rank.name = pending->key;
+  pending->rank.priority = pending->policy.priority;
+  pending->rank.accepted_wall_ms = spec.accepted_wall_ms;
   const std::int64_t from =
       std::max(spec.accepted_wall_ms, occurrence.due_wall_ms);
   const std::int64_t chain =
-      times_.Expect(spec.queue, unit->job->critical_path()).ms();
-  const double stretched = unit->policy.stretch * static_cast<double>(chain);
+      times_.ExpectedTime(spec.queue, pending->job->critical_path()).ms();
+  const double stretched = pending->policy.stretch * static_cast<double>(chain);
   const std::int64_t objective =
-      static_cast<std::int64_t>(stretched) + unit->policy.slack.ms();
-  unit->rank.deadline_wall_ms = from + objective;
+      static_cast<std::int64_t>(stretched) + pending->policy.slack.ms();
+  pending->rank.deadline_wall_ms = from + objective;
   const Duration left =
-      times_.Expect(spec.queue, unit->job->CriticalPathFrom(step));
-  unit->latest_start_wall_ms = unit->rank.deadline_wall_ms - left.ms();
-  unit->rank.outlook = OutlookOf(*unit, objective);
+      times_.ExpectedTime(spec.queue, pending->job->CriticalPathFrom(step));
+  pending->latest_start_wall_ms = pending->rank.deadline_wall_ms - left.ms();
+  pending->rank.deadline_status = DeadlineStatusOf(*pending, objective);
 }
 
-Outlook Planner::Pass::OutlookOf(const Unit& unit,
-                                 std::int64_t objective) const {
-  const std::int64_t missed_by = wall_ms_ - unit.latest_start_wall_ms;
-  if (missed_by <= 0) return Outlook::kInTime;
+DeadlineStatus Planner::Pass::DeadlineStatusOf(const PendingStep& pending,
+                                               std::int64_t objective) const {
+  const std::int64_t missed_by = wall_ms_ - pending.latest_start_wall_ms;
+  if (missed_by <= 0) return DeadlineStatus::kOnTime;
   if (missed_by > objective * (options_.worthless_after - 1)) {
-    return Outlook::kHopeless;
+    return DeadlineStatus::kWorthless;
   }
   if (missed_by > objective * (options_.overdue_after - 1)) {
-    return Outlook::kOverdue;
+    return DeadlineStatus::kOverdue;
   }
-  return Outlook::kLate;
+  return DeadlineStatus::kLate;
 }
 
-void Planner::Pass::SortUnits() {
+void Planner::Pass::SortPendingSteps() {
   const PlanningPolicy& policy = *options_.policy;
-  std::sort(units_.begin(), units_.end(),
-            [&policy](const Unit& a, const Unit& b) {
+  std::sort(pending_steps_.begin(), pending_steps_.end(),
+            [&policy](const PendingStep& a, const PendingStep& b) {
               return IsPlacedBefore(policy, a.rank, b.rank);
             });
 }
--- a/src/dispatch/planning_policy.cc
+++ b/src/dispatch/planning_policy.cc
@@ -13,45 +13,45 @@
 
 namespace {
 
-/// By priority, outlook and time left; displaces for what is urgent or runs out
-/// of time. What can be in time goes before what is late: under load, each late
-/// step that goes first makes the next one late. On the most loaded of fourteen
-/// days, gangs of a middle queue earned 0.46 of what they could by it, 0.33
-/// without.
+/// By priority, deadline_status and time left; displaces for what is urgent or
+/// runs out of time. What can be in time goes before what is late: under load,
+/// each late step that goes first makes the next one late. On the most loaded
+/// of fourteen days, gangs of a middle queue earned 0.46 of what they could by
+/// it, 0.33 without.
 class DeadlinePolicy : public PlanningPolicy {
  public:
   std::string_view name() const override { return "deadline"; }
-  bool GoesBefore(const WaitingStep& a, const WaitingStep& b) const override {
+  bool Precedes(const StepRank& a, const StepRank& b) const override {
     // Outlooks are declared in the order in which they are served.
-    return std::tie(a.priority, a.outlook, a.deadline_wall_ms, a.name) <
-           std::tie(b.priority, b.outlook, b.deadline_wall_ms, b.name);
+    return std::tie(a.priority, a.deadline_status, a.deadline_wall_ms, a.name) <
+           std::tie(b.priority, b.deadline_status, b.deadline_wall_ms, b.name);
   }
-  bool LetsNothingOvertake() const override { return false; }
-  bool DisplacesUnderPressure() const override { return true; }
-  bool DisplacesBeyondGuarantee() const override { return true; }
-  int KeptGangs(int most) const override { return most; }
+  bool ForbidsBackfill() const override { return false; }
+  bool PreemptsNearDeadline() const override { return true; }
+  bool PreemptsBeyondGuarantee() const override { return true; }
+  int MaxReservedGangs(int most) const override { return most; }
 };
 
 /// By age alone; a baseline. Nothing overtakes what does not fit.
 class FifoPolicy : public PlanningPolicy {
  public:
   std::string_view name() const override { return "fifo"; }
-  bool GoesBefore(const WaitingStep& a, const WaitingStep& b) const override {
+  bool Precedes(const StepRank& a, const StepRank& b) const override {
     return std::tie(a.accepted_wall_ms, a.name) <
            std::tie(b.accepted_wall_ms, b.name);
   }
-  bool LetsNothingOvertake() const override { return true; }
-  bool DisplacesUnderPressure() const override { return false; }
-  bool DisplacesBeyondGuarantee() const override { return false; }
-  int KeptGangs(int) const override { return 0; }
+  bool ForbidsBackfill() const override { return true; }
+  bool PreemptsNearDeadline() const override { return false; }
+  bool PreemptsBeyondGuarantee() const override { return false; }
+  int MaxReservedGangs(int) const override { return 0; }
 };
 
 /// By age, but what fits overtakes; room is kept for the oldest gang only.
 class BackfillPolicy : public FifoPolicy {
  public:
   std::string_view name() const override { return "backfill"; }
-  bool LetsNothingOvertake() const override { return false; }
-  int KeptGangs(int) const override { return 1; }
+  bool ForbidsBackfill() const override { return false; }
+  int MaxReservedGangs(int) const override { return 1; }
 };
 
 const std::array<const PlanningPolicy*, 3>& AllPolicies() {
@@ -65,17 +65,17 @@
 
 }  // namespace
 
-bool IsPlacedBefore(const PlanningPolicy& policy, const WaitingStep& a,
-                    const WaitingStep& b) {
-  if (a.entitled != b.entitled) return a.entitled;
-  if (a.guarantee_runs_out != b.guarantee_runs_out) {
-    return a.guarantee_runs_out;
+bool IsPlacedBefore(const PlanningPolicy& policy, const StepRank& a,
+                    const StepRank& b) {
+  if (a.within_guarantee != b.within_guarantee) return a.within_guarantee;
+  if (a.guarantee_expiring != b.guarantee_expiring) {
+    return a.guarantee_expiring;
   }
-  if (a.guarantee_runs_out) {
+  if (a.guarantee_expiring) {
     return std::tie(a.accepted_wall_ms, a.name) <
            std::tie(b.accepted_wall_ms, b.name);
   }
-  return policy.GoesBefore(a, b);
+  return policy.Precedes(a, b);
 }
 
 const PlanningPolicy* FindPlanningPolicy(std::string_view name) {
--- a/src/dispatch/run_time_estimator.cc
+++ b/src/dispatch/run_time_estimator.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Learning run times in logarithms, since guesses are off by factors.
+/// Learning run statistics in logarithms, since guesses are off by factors.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,16 +14,16 @@
 namespace {
 
 // A new value's least weight: about the last forty runs count.
-constexpr double kLeastWeight = 0.025;
+constexpr double kMinWeight = 0.025;
 // Fewer runs than this say nothing yet.
-constexpr int kEnough = 4;
+constexpr int kMinRuns = 4;
 // The variance that is assumed at first counts as so many runs.
-constexpr int kPriorRuns = 3;
+constexpr int kPriorWeight = 3;
 // Keeps one lucky streak from counting as certainty.
-constexpr double kLeastVariance = 0.01;
+constexpr double kMinVariance = 0.01;
 
 // Standard deviations within which nearly all runs lie.
-constexpr double kLikelyDeviations = 2;
+constexpr double kBoundDeviations = 2;
 
 double LogOf(Duration duration) {
   return std::log(
@@ -32,53 +32,55 @@
 
 }  // namespace
 
-void RunTimeEstimator::LogMean::Add(double value) {
+void RunTimeEstimator::LogStatistics::Add(double value) {
   ++count;
   // The first value is its own mean.
   if (count == 1) mean = value;
   const double off = value - mean;
-  mean += std::max(1.0 / count, kLeastWeight) * off;
-  const double weight = std::max(1.0 / (count + kPriorRuns), kLeastWeight);
+  mean += std::max(1.0 / count, kMinWeight) * off;
+  const double weight = std::max(1.0 / (count + kPriorWeight), kMinWeight);
   variance += weight * (off * off - variance);
 }
 
-double RunTimeEstimator::LogMean::Precision() const {
-  return 1 / std::max(variance, kLeastVariance);
+double RunTimeEstimator::LogStatistics::Precision() const {
+  return 1 / std::max(variance, kMinVariance);
 }
 
 void RunTimeEstimator::AddSample(const QueueId& queue, Duration estimate,
                                  Duration actual) {
-  QueueTimes& times = queues_[queue];
-  times.actual.Add(LogOf(actual));
-  times.error.Add(LogOf(actual) - LogOf(estimate));
+  QueueStatistics& statistics = queues_[queue];
+  statistics.actual.Add(LogOf(actual));
+  statistics.error.Add(LogOf(actual) - LogOf(estimate));
 }
 
-const RunTimeEstimator::QueueTimes* RunTimeEstimator::Known(
+const RunTimeEstimator::QueueStatistics* RunTimeEstimator::FindStatistics(
     const QueueId& queue) const {
   const auto found = queues_.find(queue);
   const bool enough =
-      found != queues_.end() && found->second.actual.count >= kEnough;
+      found != queues_.end() && found->second.actual.count >= kMinRuns;
   return enough ? &found->second : nullptr;
 }
 
-Duration RunTimeEstimator::Expect(const QueueId& queue,
-                                  Duration estimate) const {
-  const QueueTimes* known = Known(queue);
-  if (known == nullptr) return estimate;
-  const double by_queue = known->actual.Precision();
-  const double by_guess = known->error.Precision();
-  const double guess = LogOf(estimate) + known->error.mean;
-  const double expected = (by_queue * known->actual.mean + by_guess * guess) /
-                          (by_queue + by_guess);
+Duration RunTimeEstimator::ExpectedTime(const QueueId& queue,
+                                        Duration estimate) const {
+  const QueueStatistics* statistics = FindStatistics(queue);
+  if (statistics == nullptr) return estimate;
+  const double queue_weight = statistics->actual.Precision();
+  const double estimate_weight = statistics->error.Precision();
+  const double corrected_estimate = LogOf(estimate) + statistics->error.mean;
+  const double expected = (queue_weight * statistics->actual.mean +
+                           estimate_weight * corrected_estimate) /
+                          (queue_weight + estimate_weight);
   return Duration(std::llround(std::exp(expected)));
 }
 
 std::optional<double> RunTimeEstimator::UpperBoundFactor(
     const QueueId& queue) const {
-  const QueueTimes* known = Known(queue);
-  if (known == nullptr) return std::nullopt;
-  const double precision = known->actual.Precision() + known->error.Precision();
-  return std::exp(kLikelyDeviations / std::sqrt(precision));
+  const QueueStatistics* statistics = FindStatistics(queue);
+  if (statistics == nullptr) return std::nullopt;
+  const double precision =
+      statistics->actual.Precision() + statistics->error.Precision();
+  return std::exp(kBoundDeviations / std::sqrt(precision));
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/run_time_estimator.h
+++ b/src/dispatch/run_time_estimator.h
@@ -25,14 +25,14 @@
   /// runner as far as is known.
   void AddSample(const QueueId& queue, Duration estimate, Duration actual);
   /// The expected time of a run guessed at `estimate`.
-  Duration Expect(const QueueId& queue, Duration estimate) const;
+  Duration ExpectedTime(const QueueId& queue, Duration estimate) const;
   /// By which factor a sound run may well take longer than expected; nothing
   /// while too little was seen of the queue.
   std::optional<double> UpperBoundFactor(const QueueId& queue) const;
 
  private:
   /// Mean and variance of a logarithm, newer values counting for more.
-  struct LogMean {
+  struct LogStatistics {
     double mean = 0;
     /// At first: guesses are off by a factor of 1.6 or so.
     double variance = 0.25;
@@ -40,14 +40,14 @@
     void Add(double value);
     double Precision() const;
   };
-  struct QueueTimes {
-    LogMean actual;
-    LogMean error;
+  struct QueueStatistics {
+    LogStatistics actual;
+    LogStatistics error;
   };
   /// Null while too little was seen.
-  const QueueTimes* Known(const QueueId& queue) const;
+  const QueueStatistics* FindStatistics(const QueueId& queue) const;
 
-  std::map<QueueId, QueueTimes> queues_;
+  std::map<QueueId, QueueStatistics> queues_;
 };
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/ticket_cache.cc
+++ b/src/dispatch/ticket_cache.cc
@@ -13,59 +13,59 @@
 std::string TicketCache::TicketFor(const StepName& step,
                                    const IncarnationId& runner,
                                    TimePoint now) const {
-  const auto found = steps_.find(step);
-  if (found == steps_.end()) return "";
+  const auto found = entries_.find(step);
+  if (found == entries_.end()) return "";
   const auto entry = found->second.find(runner);
-  if (entry == found->second.end() || !entry->second.good) return "";
-  const bool holds = now < entry->second.valid_until;
-  return holds ? entry->second.ticket : "";
+  if (entry == found->second.end() || !entry->second.permitted) return "";
+  const bool valid = now < entry->second.valid_until;
+  return valid ? entry->second.ticket : "";
 }
 
-std::set<IncarnationId> TicketCache::Allowed(const StepName& step,
-                                             TimePoint now) const {
+std::set<IncarnationId> TicketCache::AllowedRunners(const StepName& step,
+                                                    TimePoint now) const {
   std::set<IncarnationId> allowed;
-  const auto found = steps_.find(step);
-  if (found == steps_.end()) return allowed;
+  const auto found = entries_.find(step);
+  if (found == entries_.end()) return allowed;
   for (const auto& [runner, entry] : found->second) {
-    const bool holds =
-        entry.good && now + options_.ticket_margin < entry.valid_until;
-    if (holds) allowed.insert(runner);
+    const bool valid =
+        entry.permitted && now + options_.ticket_margin < entry.valid_until;
+    if (valid) allowed.insert(runner);
   }
   return allowed;
 }
 
 void TicketCache::RequestTickets(Context& ctx, const StepName& step,
                                  const std::vector<IncarnationId>& runners) {
-  if (under_way_ || ctx.now() < next_at_) return;
-  std::map<IncarnationId, Entry>& known = steps_[step];
-  RequestAdvice ask;
-  ask.step = step;
+  if (request_in_flight_ || ctx.now() < next_request_at_) return;
+  std::map<IncarnationId, Entry>& entries = entries_[step];
+  RequestAdvice request;
+  request.step = step;
   for (const IncarnationId& runner : runners) {
-    if (ask.runners.size() == options_.runners_per_call) break;
-    const auto entry = known.find(runner);
-    const bool unknown = entry == known.end();
+    if (request.runners.size() == options_.runners_per_call) break;
+    const auto entry = entries.find(runner);
+    const bool unknown = entry == entries.end();
     const bool runs_out =
-        !unknown && entry->second.good &&
+        !unknown && entry->second.permitted &&
         ctx.now() + options_.ticket_margin * 2 >= entry->second.valid_until;
-    if (unknown || runs_out) ask.runners.push_back(runner);
+    if (unknown || runs_out) request.runners.push_back(runner);
   }
-  if (ask.runners.empty()) return;
-  under_way_ = true;
-  ctx.Emit(std::move(ask));
+  if (request.runners.empty()) return;
+  request_in_flight_ = true;
+  ctx.Emit(std::move(request));
 }
 
 void TicketCache::Handle(Context& ctx, const AdviceReceived& answer) {
-  under_way_ = false;
-  const Duration stood_still = std::exchange(stood_still_, Duration());
+  request_in_flight_ = false;
+  const Duration paused = std::exchange(paused_, Duration());
   if (!answer.ok) {
-    next_at_ = ctx.now() + options_.retry_pause;
+    next_request_at_ = ctx.now() + options_.retry_pause;
     ctx.Log(LogId::kAdviceFailed, {{"step", ToString(answer.step)}});
     return;
   }
-  std::map<IncarnationId, Entry>& known = steps_[answer.step];
-  for (const IncarnationId& runner : answer.asked) known[runner] = Entry();
+  std::map<IncarnationId, Entry>& entries = entries_[answer.step];
+  for (const IncarnationId& runner : answer.asked) entries[runner] = Entry();
   for (const auto& [runner, ticket] : answer.tickets) {
-    known[runner] = {true, ticket, ctx.now() + answer.valid - stood_still};
+    entries[runner] = {true, ticket, ctx.now() + answer.valid - paused};
   }
   ctx.Log(LogId::kAdviceTaken,
           {{"step", ToString(answer.step)},
@@ -74,8 +74,8 @@
 }
 
 void TicketCache::Forget(const JobId& job) {
-  auto it = steps_.lower_bound({job, 0, 0});
-  while (it != steps_.end() && it->first.job == job) it = steps_.erase(it);
+  auto it = entries_.lower_bound({job, 0, 0});
+  while (it != entries_.end() && it->first.job == job) it = entries_.erase(it);
 }
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/ticket_cache.h
+++ b/src/dispatch/ticket_cache.h
@@ -40,7 +40,8 @@
   std::string TicketFor(const StepName& step, const IncarnationId& runner,
                         TimePoint now) const;
   /// Runners that `step` may start on now.
-  std::set<IncarnationId> Allowed(const StepName& step, TimePoint now) const;
+  std::set<IncarnationId> AllowedRunners(const StepName& step,
+                                         TimePoint now) const;
 
   /// Asks about some of `runners` for `step`, if no call is under way and
   /// something is to be learnt. Runners in front go first.
@@ -52,23 +53,23 @@
   /// The process stood still for `time`: tickets that were under way are as
   /// much older than they seem.
   void HandleProcessPause(Duration time) {
-    if (under_way_) stood_still_ = stood_still_ + time;
+    if (request_in_flight_) paused_ = paused_ + time;
   }
 
  private:
   struct Entry {
     /// False for ever if the runner may not run the step.
-    bool good = false;
+    bool permitted = false;
     std::string ticket;
     TimePoint valid_until;
   };
 
   AdviceOptions options_;
-  bool under_way_ = false;
+  bool request_in_flight_ = false;
   /// How long the process stood still since the call under way was sent.
-  Duration stood_still_;
-  TimePoint next_at_;
-  std::map<StepName, std::map<IncarnationId, Entry>> steps_;
+  Duration paused_;
+  TimePoint next_request_at_;
+  std::map<StepName, std::map<IncarnationId, Entry>> entries_;
 };
 
 }  // namespace limeledge::dispatch
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -35,15 +35,15 @@
   }
 
   CandidatePool Seats() {
-    std::vector<Candidate> seats;
+    std::vector<Candidate> candidates;
     for (const auto& runner : runners) {
-      Candidate seat;
-      seat.runner = runner.get();
-      seat.rack = runner->rack();
-      seat.room = runner->free_capacity();
-      seats.push_back(std::move(seat));
+      Candidate candidate;
+      candidate.runner = runner.get();
+      candidate.rack = runner->rack();
+      candidate.room = runner->free_capacity();
+      candidates.push_back(std::move(candidate));
     }
-    return CandidatePool(std::move(seats));
+    return CandidatePool(std::move(candidates));
   }
 
   PlacementRequest Request(int count) const {
@@ -58,18 +58,18 @@
 TEST(Placement, SingleTaskGoesWhereTheLeastIsLeft) {
   Add("large", "r1-1", 8);
   Add("small", "r1-1", 2);
-  CandidatePool seating = Seats();
+  CandidatePool pool = Seats();
   STRCMP_EQUAL("small",
-               seating.PlaceOne(Request(1))->runner->id().value().c_str());
+               pool.PlaceOne(Request(1))->runner->id().value().c_str());
 }
 
 TEST(Placement, GangIsPlacedWholeOrNotAtAll) {
   Add("i-1", "r1-1", 4);
   Add("i-2", "r1-2", 4);
   step.need.accelerators = 2;
-  CandidatePool seating = Seats();
-  LONGS_EQUAL(0, seating.PlaceAll(Request(5)).size());
-  LONGS_EQUAL(4, seating.PlaceAll(Request(4)).size());
+  CandidatePool pool = Seats();
+  LONGS_EQUAL(0, pool.PlaceAll(Request(5)).size());
+  LONGS_EQUAL(4, pool.PlaceAll(Request(4)).size());
 }
 
 TEST(Placement, GangOfOneRackIsNotSpreadBeforeItsPatienceIsOver) {
@@ -77,11 +77,11 @@
   Add("i-2", "r1-2", 4);
   step.need.accelerators = 4;
   step.same_rack = true;
-  CandidatePool seating = Seats();
+  CandidatePool pool = Seats();
   PlacementRequest request = Request(2);
-  LONGS_EQUAL(0, seating.PlaceAll(request).size());
-  request.anywhere = true;
-  LONGS_EQUAL(2, seating.PlaceAll(request).size());
+  LONGS_EQUAL(0, pool.PlaceAll(request).size());
+  request.ignore_locality = true;
+  LONGS_EQUAL(2, pool.PlaceAll(request).size());
 }
 
 TEST(Placement, TaskGoesNearItsDataThoughItMayGoAnywhere) {
@@ -89,9 +89,9 @@
   Add("near", "r1-2", 8);
   step.data_rack = "r1-2";
   PlacementRequest request = Request(1);
-  request.anywhere = true;
-  CandidatePool seating = Seats();
-  STRCMP_EQUAL("near", seating.PlaceOne(request)->runner->id().value().c_str());
+  request.ignore_locality = true;
+  CandidatePool pool = Seats();
+  STRCMP_EQUAL("near", pool.PlaceOne(request)->runner->id().value().c_str());
 }
 
 TEST(Placement, GangGoesNearItsDataThoughOtherRacksArePreferred) {
@@ -99,13 +99,13 @@
   Add("near", "r1-2", 8);
   step.data_rack = "r1-2";
   PlacementRequest request = Request(2);
-  request.anywhere = true;
+  request.ignore_locality = true;
   request.urgent_racks = UrgentRacks::kPreferred;
-  CandidatePool seating = Seats();
-  seating.seats()[0].urgent_rack = true;
-  const std::vector<Candidate*> seats = seating.PlaceAll(request);
-  LONGS_EQUAL(2, seats.size());
-  STRCMP_EQUAL("near", seats[0]->runner->id().value().c_str());
+  CandidatePool pool = Seats();
+  pool.candidates()[0].urgent_rack = true;
+  const std::vector<Candidate*> candidates = pool.PlaceAll(request);
+  LONGS_EQUAL(2, candidates.size());
+  STRCMP_EQUAL("near", candidates[0]->runner->id().value().c_str());
 }
 
 TEST(Placement, SuspectRunnerNearTheDataIsUsedAfterSoundOnesElsewhere) {
@@ -113,46 +113,46 @@
   Add("near", "r1-2", 8);
   step.data_rack = "r1-2";
   PlacementRequest request = Request(1);
-  request.anywhere = true;
-  CandidatePool seating = Seats();
-  seating.seats()[1].suspect = true;
-  STRCMP_EQUAL("far", seating.PlaceOne(request)->runner->id().value().c_str());
+  request.ignore_locality = true;
+  CandidatePool pool = Seats();
+  pool.candidates()[1].suspect = true;
+  STRCMP_EQUAL("far", pool.PlaceOne(request)->runner->id().value().c_str());
 }
 
 TEST(Placement, RequiredLabelIsNeverPassedOver) {
   Add("i-1", "r1-1", 8);
   step.required_label = "b";
   PlacementRequest request = Request(1);
-  request.anywhere = true;
-  CandidatePool seating = Seats();
-  POINTERS_EQUAL(nullptr, seating.PlaceOne(request));
+  request.ignore_locality = true;
+  CandidatePool pool = Seats();
+  POINTERS_EQUAL(nullptr, pool.PlaceOne(request));
 }
 
 TEST(Placement, LimitPerRunnerCountsWhatRunsThere) {
   Add("i-1", "r1-1", 8);
   step.max_per_runner = 2;
   PlacementRequest request = Request(1);
-  request.used[RunnerId("i-1")] = 2;
-  CandidatePool seating = Seats();
-  POINTERS_EQUAL(nullptr, seating.PlaceOne(request));
+  request.tasks_per_runner[RunnerId("i-1")] = 2;
+  CandidatePool pool = Seats();
+  POINTERS_EQUAL(nullptr, pool.PlaceOne(request));
 }
 
 TEST(Placement, ClosedRackIsNotUsed) {
   Add("i-1", "r1-1", 8);
   PlacementRequest request = Request(1);
   request.urgent_racks = UrgentRacks::kClosed;
-  CandidatePool seating = Seats();
-  seating.seats()[0].urgent_rack = true;
-  POINTERS_EQUAL(nullptr, seating.PlaceOne(request));
+  CandidatePool pool = Seats();
+  pool.candidates()[0].urgent_rack = true;
+  POINTERS_EQUAL(nullptr, pool.PlaceOne(request));
 }
 
 TEST(Placement, SlowRunnerIsTakenLast) {
   Add("slow", "r1-1", 2);
   Add("sound", "r1-1", 8);
   for (int i = 0; i < 5; ++i) runners[0]->RecordPace(6, JobId("slow"));
-  CandidatePool seating = Seats();
+  CandidatePool pool = Seats();
   STRCMP_EQUAL("sound",
-               seating.PlaceOne(Request(1))->runner->id().value().c_str());
+               pool.PlaceOne(Request(1))->runner->id().value().c_str());
 }
 
 TEST(Placement, UrgentWorkPrefersUsuallyFasterRunners) {
@@ -161,8 +161,8 @@
   for (int i = 0; i < 30; ++i) runners[0]->RecordUsualPace(1.3);
   PlacementRequest request = Request(1);
   request.prefers_fast = true;
-  CandidatePool seating = Seats();
-  STRCMP_EQUAL("fast", seating.PlaceOne(request)->runner->id().value().c_str());
+  CandidatePool pool = Seats();
+  STRCMP_EQUAL("fast", pool.PlaceOne(request)->runner->id().value().c_str());
 }
 
 // A filler takes of the processors only what others leave.
@@ -171,10 +171,10 @@
   Run run;
   run.need = {64000, 1024, 1};
   runners[0]->Add({JobId("a"), 0, 0, 0}, run);
-  CandidatePool seating = Seats();
-  CHECK_TRUE(seating.PlaceOne(Request(1)) == nullptr);
+  CandidatePool pool = Seats();
+  CHECK_TRUE(pool.PlaceOne(Request(1)) == nullptr);
   step.filler = true;
-  CHECK_TRUE(seating.PlaceOne(Request(1)) != nullptr);
+  CHECK_TRUE(pool.PlaceOne(Request(1)) != nullptr);
 }
 
 TEST(Placement, FillersAndServingTasksAreKeptApart) {
@@ -184,55 +184,54 @@
   filler.filler = true;
   StepSpec serving = step;
   serving.tail_latency_target = Duration(50);
-  CandidatePool seating = Seats();
+  CandidatePool pool = Seats();
   PlacementRequest request = Request(1);
   request.step = &filler;
-  const Candidate* first = seating.PlaceOne(request);
+  const Candidate* first = pool.PlaceOne(request);
   request.step = &serving;
-  const Candidate* second = seating.PlaceOne(request);
+  const Candidate* second = pool.PlaceOne(request);
   CHECK_TRUE(first != nullptr && second != nullptr && first != second);
   request.step = &filler;
-  CHECK_TRUE(seating.PlaceOne(request) == first);
+  CHECK_TRUE(pool.PlaceOne(request) == first);
 }
 
 TEST(Placement, RunnersAreTakenByHowFarTheyAreTrusted) {
   const std::vector<const char*> ids = {"avoided", "suspect", "slow",
                                         "trusted"};
   for (const char* id : ids) Add(id, "r1-1", 1);
-  CandidatePool seating = Seats();
-  seating.seats()[1].suspect = true;
+  CandidatePool pool = Seats();
+  pool.candidates()[1].suspect = true;
   // Runs there take many times as long as expected.
   for (int i = 0; i < 10; ++i) {
-    seating.seats()[2].runner->RecordPace(10, JobId("a"));
+    pool.candidates()[2].runner->RecordPace(10, JobId("a"));
   }
-  CHECK_TRUE(seating.seats()[2].runner->IsSlow());
+  CHECK_TRUE(pool.candidates()[2].runner->IsSlow());
   const std::set<IncarnationId> avoided = {{RunnerId("avoided"), StartTime()}};
   PlacementRequest request = Request(1);
   request.avoided = &avoided;
   for (std::size_t i = ids.size(); i-- > 0;) {
-    STRCMP_EQUAL(ids[i],
-                 seating.PlaceOne(request)->runner->id().value().c_str());
+    STRCMP_EQUAL(ids[i], pool.PlaceOne(request)->runner->id().value().c_str());
   }
 }
 
 TEST(Placement, LastAttemptPassesOverARunnerThatMayFailIt) {
   Add("suspect", "r1-1", 8);
-  CandidatePool seating = Seats();
-  seating.seats()[0].suspect = true;
+  CandidatePool pool = Seats();
+  pool.candidates()[0].suspect = true;
   PlacementRequest request = Request(1);
   request.is_last_attempt = true;
-  POINTERS_EQUAL(nullptr, seating.PlaceOne(request));
+  POINTERS_EQUAL(nullptr, pool.PlaceOne(request));
   request.is_last_attempt = false;
-  CHECK_TRUE(seating.PlaceOne(request) != nullptr);
+  CHECK_TRUE(pool.PlaceOne(request) != nullptr);
 }
 
 TEST(Placement, RunnerThatFailedARunAtOnceIsTriedWithOne) {
   Add("broken", "r1-1", 8);
-  CandidatePool seating = Seats();
-  seating.seats()[0].may_fail_immediately = true;
-  CHECK_TRUE(seating.PlaceAll(Request(2)).empty());
-  CHECK_TRUE(seating.PlaceOne(Request(1)) != nullptr);
-  POINTERS_EQUAL(nullptr, seating.PlaceOne(Request(1)));
+  CandidatePool pool = Seats();
+  pool.candidates()[0].may_fail_immediately = true;
+  CHECK_TRUE(pool.PlaceAll(Request(2)).empty());
+  CHECK_TRUE(pool.PlaceOne(Request(1)) != nullptr);
+  POINTERS_EQUAL(nullptr, pool.PlaceOne(Request(1)));
 }
 
 }  // namespace limeledge::dispatch
--- a/test/planning-policy-test.cc
+++ b/test/planning-policy-test.cc
@@ -15,8 +15,8 @@
 
 // An older step with much time left, and a newer one with little.
 TEST_GROUP(PlanningPolicy) {
-  WaitingStep older;
-  WaitingStep newer;
+  StepRank older;
+  StepRank newer;
 
   void setup() override {
     older.name.job = JobId("a");
@@ -71,40 +71,40 @@
 
 TEST(PlanningPolicy, DeadlineOrderPutsTheStepWithLessTimeFirst) {
   const PlanningPolicy& policy = DefaultPlanningPolicy();
-  CHECK_TRUE(policy.GoesBefore(newer, older));
-  CHECK_FALSE(policy.GoesBefore(older, newer));
+  CHECK_TRUE(policy.Precedes(newer, older));
+  CHECK_FALSE(policy.Precedes(older, newer));
   newer.priority = 1;
-  CHECK_TRUE(policy.GoesBefore(older, newer));
+  CHECK_TRUE(policy.Precedes(older, newer));
 }
 
 TEST(PlanningPolicy, DeadlineOrderPutsHopelessWorkLast) {
-  newer.outlook = Outlook::kHopeless;
-  CHECK_TRUE(DefaultPlanningPolicy().GoesBefore(older, newer));
+  newer.deadline_status = DeadlineStatus::kWorthless;
+  CHECK_TRUE(DefaultPlanningPolicy().Precedes(older, newer));
 }
 
 // Under load, each late step that goes first makes the next one late, too.
 TEST(PlanningPolicy, DeadlineOrderPutsLateWorkBehindWhatCanBeInTime) {
-  newer.outlook = Outlook::kLate;
-  CHECK_TRUE(DefaultPlanningPolicy().GoesBefore(older, newer));
+  newer.deadline_status = DeadlineStatus::kLate;
+  CHECK_TRUE(DefaultPlanningPolicy().Precedes(older, newer));
 }
 
 TEST(PlanningPolicy, DeadlineOrderPutsOverdueWorkFirst) {
-  older.outlook = Outlook::kOverdue;
-  CHECK_TRUE(DefaultPlanningPolicy().GoesBefore(older, newer));
+  older.deadline_status = DeadlineStatus::kOverdue;
+  CHECK_TRUE(DefaultPlanningPolicy().Precedes(older, newer));
 }
 
 TEST(PlanningPolicy, DeadlineOrderPutsPriorityBeforeAnyOutlook) {
-  older.outlook = Outlook::kOverdue;
+  older.deadline_status = DeadlineStatus::kOverdue;
   older.priority = 2;
   newer.priority = 1;
-  CHECK_TRUE(DefaultPlanningPolicy().GoesBefore(newer, older));
+  CHECK_TRUE(DefaultPlanningPolicy().Precedes(newer, older));
 }
 
 TEST(PlanningPolicy, BaselinesPutTheOlderStepFirst) {
   for (const char* name : {"fifo", "backfill"}) {
-    CHECK_TRUE(FindPlanningPolicy(name)->GoesBefore(older, newer));
-    CHECK_FALSE(FindPlanningPolicy(name)->GoesBefore(newer, older));
-    CHECK_FALSE(FindPlanningPolicy(name)->GoesBefore(older, older));
+    CHECK_TRUE(FindPlanningPolicy(name)->Precedes(older, newer));
+    CHECK_FALSE(FindPlanningPolicy(name)->Precedes(newer, older));
+    CHECK_FALSE(FindPlanningPolicy(name)->Precedes(older, older));
   }
 }
 
@@ -117,18 +117,18 @@
 // later and were due sooner: it began after 3.0 s, its guarantee is 2.9 s.
 TEST(PlanningPolicy, StepWhoseGuaranteeRunsOutGoesBeforeNewerEntitledOnes) {
   const PlanningPolicy& policy = DefaultPlanningPolicy();
-  older.entitled = true;
-  newer.entitled = true;
+  older.within_guarantee = true;
+  newer.within_guarantee = true;
   CHECK_TRUE(IsPlacedBefore(policy, newer, older));
-  older.guarantee_runs_out = true;
+  older.guarantee_expiring = true;
   CHECK_TRUE(IsPlacedBefore(policy, older, newer));
-  newer.guarantee_runs_out = true;
+  newer.guarantee_expiring = true;
   CHECK_TRUE(IsPlacedBefore(policy, older, newer));
   CHECK_FALSE(IsPlacedBefore(policy, newer, older));
 }
 
 TEST(PlanningPolicy, EntitledStepsGoBeforeAllOthers) {
-  older.entitled = true;
+  older.within_guarantee = true;
   CHECK_TRUE(IsPlacedBefore(DefaultPlanningPolicy(), older, newer));
   CHECK_FALSE(IsPlacedBefore(DefaultPlanningPolicy(), newer, older));
 }
--- a/test/run-times-test.cc
+++ b/test/run-times-test.cc
@@ -15,7 +15,7 @@
 };
 
 TEST(RunTimeEstimator, UnknownQueueIsTakenAtItsGuess) {
-  LONGS_EQUAL(1234, times.Expect(queue, Duration(1234)).ms());
+  LONGS_EQUAL(1234, times.ExpectedTime(queue, Duration(1234)).ms());
   CHECK_FALSE(times.UpperBoundFactor(queue).has_value());
 }
 
@@ -24,7 +24,7 @@
   for (const int guess : guesses) {
     times.AddSample(queue, Duration(guess), Duration(8000));
   }
-  const Duration expected = times.Expect(queue, Duration(1000));
+  const Duration expected = times.ExpectedTime(queue, Duration(1000));
   CHECK_TRUE(expected > Duration(6000));
   CHECK_TRUE(expected < Duration(10000));
 }
@@ -36,7 +36,7 @@
       times.AddSample(queue, Duration(length), Duration(length));
     }
   }
-  const Duration expected = times.Expect(queue, Duration(1000));
+  const Duration expected = times.ExpectedTime(queue, Duration(1000));
   CHECK_TRUE(expected > Duration(800));
   CHECK_TRUE(expected < Duration(1300));
 }
