--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -17,10 +17,10 @@
 
 namespace {
 
-// Urgent work passes over runners that usually take this much longer.
+// Urgent work avoids runners that usually take this many times as long.
 constexpr double kSlightlySlowRunner = 1.07;
 
-int LimitPerSeat(const PlacementRequest& request, const Candidate& candidate) {
+int MaxTasksOn(const PlacementRequest& request, const Candidate& candidate) {
   const int most =
       candidate.may_fail_immediately ? 1 : std::numeric_limits<int>::max();
   const int limit = request.step->max_per_runner;
@@ -33,7 +33,7 @@
   return std::clamp(limit - taken, 0, most);
 }
 
-/// How far a runner is trusted; those named first are taken first.
+/// How reliable and fast a runner is, best first.
 enum class RunnerTrust { kSound, kSlightlySlow, kSlow, kSuspect, kAvoided };
 
 RunnerTrust TrustIn(const Candidate& candidate,
@@ -49,7 +49,7 @@
   return leisurely ? RunnerTrust::kSlightlySlow : RunnerTrust::kSound;
 }
 
-/// The least trusted of the candidates.
+/// The worst value among the candidates.
 RunnerTrust LowestTrustIn(const std::vector<Candidate*>& candidates,
                           const PlacementRequest& request) {
   RunnerTrust least = RunnerTrust::kSound;
@@ -59,30 +59,30 @@
   return least;
 }
 
-/// True if the step's data lies elsewhere.
+/// True if the step's data is in another rack.
 bool IsFar(const Candidate& candidate, const StepSpec& step) {
   return !step.data_rack.empty() &&
          candidate.runner->info().labels.count(step.data_rack) == 0;
 }
 
-/// How well a place suits, whatever its room; smaller is better. A run far from
-/// its data takes three times as long: that is worse than a runner that is
-/// somewhat slow, but better than one that may fail it.
+/// Ranks a place regardless of its capacity; smaller is better. A run far from
+/// its data takes three times as long, which is worse than a slow runner but
+/// better than one that may fail the run.
 using Fitness = std::tuple<bool, bool, RunnerTrust>;
 
 Fitness FitnessOf(RunnerTrust trust, bool far) {
   return {trust >= RunnerTrust::kSuspect, far, trust};
 }
 
-/// What is at risk if the request's tasks crash their runners.
+/// Work at risk if the request's tasks crash their runners.
 std::int64_t RiskOf(const Candidate& candidate,
                     const PlacementRequest& request) {
   return request.is_suspect ? candidate.work_at_risk : 0;
 }
 
-/// Smaller is better: the least work at risk, a fit runner, then the one that
-/// is left with the least room, in the fullest rack, so that gangs find whole
-/// runners of one rack.
+/// Ranks a place; smaller is better. Orders by the work at risk, the fitness of
+/// the runner, its accelerators left over (best fit), the free accelerators of
+/// its rack, so that whole racks stay free for gangs, and its cores left over.
 using PlacementCost =
     std::tuple<std::int64_t, Fitness, std::int64_t, std::int64_t, std::int64_t>;
 
@@ -97,7 +97,7 @@
       candidate.room.cpu_millis - need.cpu_millis};
 }
 
-/// True if any of the candidates is.
+/// True if at least one candidate is far from the step's data.
 bool AnyIsFar(const std::vector<Candidate*>& candidates, const StepSpec& step) {
   return std::any_of(
       candidates.begin(), candidates.end(),
@@ -108,9 +108,9 @@
 
 int CountFitting(const Resources& need, const Resources& room, int limit) {
   std::int64_t count = limit;
-  const auto narrow = [&count](std::int64_t want, std::int64_t have) {
-    if (want <= 0) return;
-    count = std::min(count, std::max<std::int64_t>(0, have / want));
+  const auto narrow = [&count](std::int64_t needed, std::int64_t available) {
+    if (needed <= 0) return;
+    count = std::min(count, std::max<std::int64_t>(0, available / needed));
   };
   narrow(need.cpu_millis, room.cpu_millis);
   narrow(need.memory_mb, room.memory_mb);
@@ -143,13 +143,13 @@
   }
   if (candidate.CountSharing(ConflictingSharing(step.sharing())) > 0)
     return false;
-  return LimitPerSeat(request, candidate) > 0;
+  return MaxTasksOn(request, candidate) > 0;
 }
 
 CandidatePool::CandidatePool(std::vector<Candidate> candidates)
-    : seats_(std::move(candidates)) {
+    : candidates_(std::move(candidates)) {
   std::unordered_map<std::string_view, std::size_t> numbers;
-  for (Candidate& candidate : seats_) {
+  for (Candidate& candidate : candidates_) {
     candidate.rack_number =
         numbers.emplace(candidate.rack, numbers.size()).first->second;
     free_accelerators_.resize(numbers.size());
@@ -160,10 +160,10 @@
 bool CandidatePool::FitsMultiple(const PlacementRequest& request,
                                  int times) const {
   int left = request.count * times;
-  for (const Candidate& candidate : seats_) {
+  for (const Candidate& candidate : candidates_) {
     if (left <= 0) break;
     if (!MeetsConstraints(candidate, request)) continue;
-    const int limit = std::min(left, LimitPerSeat(request, candidate));
+    const int limit = std::min(left, MaxTasksOn(request, candidate));
     left -= CountFitting(request.step->room(),
                          candidate.runner->free_capacity(), limit);
   }
@@ -185,7 +185,7 @@
   Candidate* best = nullptr;
   PlacementCost best_cost;
   const Resources need = request.step->room();
-  for (Candidate& candidate : seats_) {
+  for (Candidate& candidate : candidates_) {
     if (!need.Fits(candidate.room) || !MeetsConstraints(candidate, request))
       continue;
     const PlacementCost cost = PlacementCostOf(
@@ -203,8 +203,7 @@
     const std::vector<Candidate*>& candidates) {
   const Resources need = request.step->room();
   if (candidates.empty()) return {};
-  // A candidate's place in the order is worked out once, which is most of the
-  // cost.
+  // Computes each cost only once, because it dominates the cost of sorting.
   std::vector<std::pair<PlacementCost, Candidate*>> order;
   for (Candidate* candidate : candidates) {
     if (!need.Fits(candidate->room)) continue;
@@ -218,7 +217,7 @@
   std::vector<Candidate*> chosen;
   for (const auto& [cost, candidate] : order) {
     const int left = request.count - static_cast<int>(chosen.size());
-    const int limit = std::min(left, LimitPerSeat(request, *candidate));
+    const int limit = std::min(left, MaxTasksOn(request, *candidate));
     const int fitting = CountFitting(need, candidate->room, limit);
     chosen.insert(chosen.end(), fitting, candidate);
     if (static_cast<int>(chosen.size()) == request.count) return chosen;
@@ -231,20 +230,20 @@
   const Resources need = request.step->room();
   std::vector<std::vector<Candidate*>> racks(free_accelerators_.size());
   std::vector<Candidate*> all;
-  for (Candidate& candidate : seats_) {
+  for (Candidate& candidate : candidates_) {
     if (!need.Fits(candidate.room) || !MeetsConstraints(candidate, request))
       continue;
     racks[candidate.rack_number].push_back(&candidate);
     all.push_back(&candidate);
   }
   std::vector<Candidate*> best;
-  // The fittest runners, then the fullest rack that fits, so that emptier ones
-  // stay whole.
+  // Prefers the fittest runners, then the fullest rack that fits, so that
+  // emptier racks stay free for other gangs.
   std::tuple<std::int64_t, Fitness, bool, std::int64_t> best_cost;
   for (const std::vector<Candidate*>& candidates : racks) {
     std::vector<Candidate*> chosen = PlaceWithin(request, candidates);
     if (chosen.empty()) continue;
-    // A gang is as slow as its slowest member, and fails with any of them.
+    // A gang is as slow as its slowest member and fails if any member fails.
     const Fitness fitness = FitnessOf(LowestTrustIn(chosen, request),
                                       AnyIsFar(chosen, *request.step));
     const Candidate& first = *candidates.front();
--- a/src/dispatch/placement.h
+++ b/src/dispatch/placement.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses runners for tasks, over a view of the room that a pass uses up.
+/// Best-fit placement of tasks on the candidate runners of a planning pass.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,32 +18,33 @@
 
 namespace limeledge::dispatch {
 
-/// A runner as one pass sees it.
+/// A runner as a planning pass sees it.
 struct Candidate {
   Runner* runner = nullptr;
   std::string rack;
-  /// The same rack as a number from 0; set by the pool.
+  /// Index of the rack, from 0; set by `CandidatePool`.
   std::size_t rack_number = 0;
-  /// The rack is set apart for urgent work.
+  /// The rack is reserved for urgent work.
   bool urgent_rack = false;
-  /// What is left after all that this pass decided on.
+  /// Capacity left after the decisions of this pass.
   Resources room;
-  /// Room that runs which are being stopped, or end soon, will give back.
+  /// Capacity that will be freed by runs that are being stopped.
   Resources releasing;
-  /// A run failed there lately, and none was done since.
+  /// A run failed here recently, and none has succeeded since.
   bool suspect = false;
-  /// A run failed there as soon as it had begun. One other run is enough to
-  /// tell whether it still fails all that it starts: `tried` once there is one.
+  /// A run failed here immediately after its start. One further run is enough
+  /// to find out whether the runner still fails all runs; `tried` is set while
+  /// there is one.
   bool may_fail_immediately = false;
   bool tried = false;
-  /// A task that may crash its runners is being tried there, and nothing is to
-  /// be put beside it meanwhile.
+  /// A task suspected of crashing its runners is running here. Nothing else may
+  /// be placed here meanwhile.
   bool on_probation = false;
-  /// Work that would be lost with the runner, in core-milliseconds; only known
-  /// once `Planner::Pass` needs it.
+  /// Work that a crash of the runner would lose, in weighted core-milliseconds.
+  /// Set only when `Planner::Pass` needs it.
   std::int64_t work_at_risk = 0;
-  /// Runs there that share the processors in some way, with those that this
-  /// pass decided on.
+  /// Best-effort and latency-sensitive runs, including those placed by this
+  /// pass.
   int best_effort_runs = 0;
   int latency_sensitive_runs = 0;
 
@@ -53,35 +54,33 @@
   }
 };
 
-/// How a request stands to the racks that are set apart for urgent work.
+/// Whether a request may use the racks reserved for urgent work.
 enum class UrgentRacks { kOpen, kPreferred, kClosed };
 
-/// What is looked for.
+/// Describes the tasks to place and the constraints on their runners.
 struct PlacementRequest {
   const StepSpec* step = nullptr;
   ServiceId service;
   int count = 1;
-  /// Runners of the step's tasks now, for the limit on each.
+  /// Number of the step's tasks on each runner, for the limit per runner.
   std::map<RunnerId, int> tasks_per_runner;
-  /// Runners to pass over while there are others; null for none.
+  /// Runners to use only if no other is left; null for none.
   const std::set<IncarnationId>* avoided = nullptr;
-  /// Runners outside the rack with the data, or in several racks, are taken
-  /// too.
+  /// Allows runners away from the step's data and gangs spread over racks.
   bool ignore_locality = false;
-  /// Only these runners may be tasks_per_runner; null for any.
+  /// Restricts placement to these runners; null for any.
   const std::set<IncarnationId>* allowed = nullptr;
-  /// Runners that are usually faster go first.
+  /// Prefers runners that are usually faster.
   bool prefers_fast = false;
-  /// A further failure is final: runners that may fail the tasks are passed
-  /// over.
+  /// One more failure is final: skips runners that failed a run recently.
   bool is_last_attempt = false;
-  /// The tasks may crash their runners: those go first on which the least work
-  /// is at risk.
+  /// The tasks are suspected of crashing their runners: prefers runners with
+  /// the least work at risk.
   bool is_suspect = false;
   UrgentRacks urgent_racks = UrgentRacks::kOpen;
 };
 
-/// The runners that may be given work now.
+/// The runners that may be given work in this pass.
 ///
 /// Thread safety: none; lives for one pass.
 class CandidatePool {
@@ -90,19 +89,21 @@
 
   std::size_t rack_count() const { return free_accelerators_.size(); }
 
-  std::vector<Candidate>& candidates() { return seats_; }
-  const std::vector<Candidate>& candidates() const { return seats_; }
+  std::vector<Candidate>& candidates() { return candidates_; }
+  const std::vector<Candidate>& candidates() const { return candidates_; }
 
-  /// One candidate for each of `count` tasks, or none at all. Takes their room.
+  /// Places all `count` tasks, or none if they do not all fit. Returns one
+  /// candidate for each task and takes the capacity from it.
   std::vector<Candidate*> PlaceAll(const PlacementRequest& request);
-  /// The best candidate for one task; null if it fits nowhere. Takes its room.
+  /// Places one task on the best candidate and takes the capacity from it.
+  /// Returns null if the task fits nowhere.
   Candidate* PlaceOne(const PlacementRequest& request);
 
-  /// True if suitable runners have room for the request's tasks so many times
-  /// over, were nothing kept free for others.
+  /// True if the free capacity of eligible runners, including what is reserved
+  /// for others, fits the request's tasks `times` times.
   bool FitsMultiple(const PlacementRequest& request, int times) const;
 
-  /// True if the candidate is one that the request allows, whatever its room.
+  /// True if the request may use the candidate, regardless of its capacity.
   static bool MeetsConstraints(const Candidate& candidate,
                                const PlacementRequest& request);
 
@@ -112,12 +113,13 @@
       const std::vector<Candidate*>& candidates);
   void Take(Candidate* candidate, const StepSpec& step, bool is_suspect);
 
-  std::vector<Candidate> seats_;
-  /// Free accelerators of each rack, by its number.
+  std::vector<Candidate> candidates_;
+  /// Free accelerators by rack number.
   std::vector<std::int64_t> free_accelerators_;
 };
 
-/// How many tasks of `need` fit in `room`, at most `limit`.
+/// Number of tasks with the requirements `need` that fit in `room`, at most
+/// `limit`.
 int CountFitting(const Resources& need, const Resources& room, int limit);
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The planner's pass, from its pending_steps to its plan.
+/// The steps of a planning pass and its report.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,17 +16,17 @@
 const char* ToString(WaitReason reason) {
   switch (reason) {
     case WaitReason::kBlockedByEarlierStep:
-      return "others that do not fit go first";
+      return "blocked by an earlier step that does not fit";
     case WaitReason::kNoTickets:
       return "no runner has a ticket for the step";
     case WaitReason::kNoCapacity:
-      return "no room";
+      return "no free capacity";
     case WaitReason::kNotEnoughPreemptible:
-      return "no room, and not enough may make way";
+      return "no free capacity, and not enough can be preempted";
     case WaitReason::kPreempting:
       return "others make way";
-    case WaitReason::kCapacityReserved:
-      return "runners are kept free for the gang";
+    case WaitReason::kReserved:
+      return "capacity is reserved for the gang";
   }
   return "";
 }
--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decides which tasks run where next, and which make way.
+/// The planner: places tasks on runners and selects runs to preempt.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -23,131 +23,133 @@
 
 namespace limeledge::dispatch {
 
-/// Weights and patience of the planner.
+/// Limits and weights of the planner.
 struct PlannerOptions {
-  /// Order of what waits; never null.
+  /// Orders waiting steps; never null.
   const PlanningPolicy* policy = &DefaultPlanningPolicy();
-  /// How long urgent work waits for a good place (one rack, near its data)
-  /// before it takes any. With a reservation that comes to nothing and the stop
-  /// after it, less than the 2.9 to 3.4 s in which a workspace has its
-  /// guarantee.
+  /// How long urgent work waits for a place in one rack and near its data
+  /// before any place will do. Together with `reservation_time`, in case
+  /// preemption frees nothing, and the preemption after it, the wait must stay
+  /// below the 2.9 to 3.4 s in which a workspace is guaranteed its capacity.
   Duration urgent_locality_wait{900};
-  /// The same for other work. Below the 3 s after which a waiting task beside
-  /// idle runners counts as forgotten.
+  /// The same for other work. Must stay below the 3 s after which a task that
+  /// waits while runners are idle counts as forgotten.
   Duration locality_wait{1500};
-  /// Gangs do not wait longer than this for a good place while there is room
-  /// for them twice over elsewhere; below the same 3 s.
+  /// Upper bound on a gang's locality wait while other runners have free
+  /// capacity for twice the gang. Below the same 3 s.
   Duration max_locality_wait_with_free_capacity{2500};
-  /// A task whose next failure is final waits for a runner on which no run
-  /// failed lately; while most are idle, no longer than this. Below the same
-  /// 3 s.
+  /// A task whose next failure is final waits for a runner without recent
+  /// failures, but no longer than this while most accelerators are idle. Below
+  /// the same 3 s.
   Duration last_attempt_wait{2500};
-  /// Gangs wait this long before room is kept free for them.
+  /// How long a gang waits before capacity is reserved for it.
   Duration gang_reservation_delay{300};
-  /// Gangs that room is kept free for at once.
+  /// Maximum number of gangs that have capacity reserved at the same time.
   int max_reserved_gangs = 4;
-  /// Other work displaces lower priorities, and uses more of the urgent racks,
-  /// once it must start within this time to be done by its objective, or missed
-  /// it: room for a stop, twice over.
+  /// A step that is not urgent may preempt lower priorities and use more of the
+  /// urgent racks once it must start within this time to meet its objective, or
+  /// has missed it. Leaves time for two preemptions.
   Duration deadline_margin{2500};
-  /// Room that was made for a step is kept for it this long: the longest stop
-  /// (0.4 to 0.9 s), and some for the news of it.
+  /// How long capacity stays reserved for a step after others were preempted
+  /// for it: the longest stop (0.4 to 0.9 s) plus the time until the stop is
+  /// reported.
   Duration reservation_time{1300};
-  /// Work that can not be done within this many times its objective earns
-  /// nothing and goes last.
+  /// A step that cannot finish within this multiple of its objective earns
+  /// nothing and is placed last.
   int worthless_after = 3;
-  /// Work that can not be done within this many times its objective goes before
-  /// all else of its priority, so that none waits until it is worthless.
+  /// A step that cannot finish within this multiple of its objective is placed
+  /// before all others of its priority, so that no step waits until it is
+  /// worthless.
   int overdue_after = 2;
-  /// Share of the runners, in whole racks, that only urgent work is placed on:
-  /// about what it needs on an ordinary day, so that it need not wait for
-  /// others to be stopped.
+  /// Fraction of the runners, rounded to whole racks, where only urgent work is
+  /// placed. About what urgent work needs on an ordinary day, so that it can
+  /// start without preempting others.
   double urgent_share = 0.3;
-  /// Other work goes there too, once its patience is over, while less than
-  /// this share of all accelerators is in use.
+  /// Other work may use the urgent racks, after its locality wait, while less
+  /// than this fraction of all accelerators is in use.
   double idle_share = 0.5;
-  /// Other work also goes there, once its patience is over and there is no
-  /// room elsewhere, while this share of those racks' accelerators, and of
-  /// their cores, stays idle: bursts of urgent work still find room at once.
-  /// Less kept idle served urgent work worse, and the whole with it.
+  /// Other work may also use the urgent racks, after its locality wait and if
+  /// it fits nowhere else, as long as this fraction of their accelerators and
+  /// of their cores stays idle, so that bursts of urgent work fit at once.
+  /// Lower values served urgent work worse and reduced the overall result.
   double urgent_headroom = 0.75;
-  /// The same for work that runs out of time, or has run out of it. Of fourteen
-  /// days, the worst for the least urgent queue gave it 0.44 of what it could
-  /// earn, 0.17 with all racks closed to it; with none kept idle, a fortieth
-  /// less of the urgent work's worth was earned.
+  /// The same for work that is near or past its deadline. Closing the urgent
+  /// racks to such work starves the least urgent queue; requiring no idle
+  /// capacity costs urgent work a little.
   double late_headroom = 0.25;
-  /// Work lost by displacing urgent work counts so many times: such work is
-  /// taken last.
+  /// Factor on the cost of preempting urgent work, so that it is preempted
+  /// last.
   std::int64_t urgent_victim_weight = 1000;
-  /// Gangs that are tried in each pass; those behind them in order are tried in
-  /// every so many-th pass, so that a pass stays short under a backlog.
+  /// Gangs beyond the first `gangs_per_pass` in order are tried only once in
+  /// `remaining_gangs_interval` passes, which keeps passes short under a
+  /// backlog.
   int gangs_per_pass = 24;
   int remaining_gangs_interval = 5;
-  /// An accelerator counts as this many cores.
+  /// Weight of an accelerator, in cores, in the cost of a preemption.
   int cores_per_accelerator = 8;
 };
 
-/// A task and the runner that it is to be started on. All tasks of a gang
-/// appear together.
+/// A task and the runner to start it on. All tasks of a gang are assigned in
+/// the same pass.
 struct Assignment {
   TaskName task;
   int run = 0;
   Runner* runner = nullptr;
   Duration expected;
-  /// The same on a runner near its data, and with its gang in one rack.
+  /// Expected run time near the data and with the whole gang in one rack.
   Duration expected_near;
 
   bool near() const { return expected == expected_near; }
 };
 
-/// A run that makes way for urgent work.
+/// A run to stop so that another job gets its capacity.
 struct Preemption {
   TaskName task;
   IncarnationId incarnation;
-  /// The job that needs the room.
+  /// The job that gets the capacity.
   JobId preemptor;
 };
 
-/// A step that waits for tickets, and the runners that suit it, best first.
+/// A step that needs tickets, and the runners to ask about, best first.
 struct AdviceRequest {
   StepName step;
   std::vector<IncarnationId> runners;
 };
 
-/// Why tasks of a step that is ready do not start.
+/// Why the tasks of a ready step do not start.
 enum class WaitReason {
-  /// The policy lets nothing overtake what did not fit before.
+  /// The policy forbids backfill, and an earlier step does not fit.
   kBlockedByEarlierStep,
-  /// The advice service named no runner on which the step may run, so far.
+  /// The advice service has not allowed the step on any runner.
   kNoTickets,
-  /// There is no room, and nothing has to make way yet.
+  /// No free capacity, and preemption is not allowed.
   kNoCapacity,
-  /// There is no room, and not enough may make way.
+  /// No free capacity, and too little can be preempted.
   kNotEnoughPreemptible,
-  /// Others make way; their room is not free yet.
+  /// Runs were preempted for the step, but their capacity is not free.
   kPreempting,
-  /// Runners are kept free until there is room for the whole gang.
-  kCapacityReserved,
+  /// Capacity is reserved until the whole gang fits.
+  kReserved,
 };
 
-/// For people.
+/// Description for logs.
 const char* ToString(WaitReason reason);
 
-/// A step that begins to wait, or waits for another reason than before.
+/// A step that started to wait or whose reason to wait changed.
 struct StepWait {
   StepName step;
   WaitReason reason = WaitReason::kNoCapacity;
   int tasks = 0;
 };
 
-/// Accelerators of the runners that may be given work, after a pass.
+/// Accelerators of the schedulable runners after a pass.
 struct IdleAccelerators {
   std::int64_t all = 0;
-  /// Not taken by any run, in racks that only urgent work is placed on.
+  /// Idle in the racks where only urgent work is placed.
   std::int64_t urgent_racks = 0;
-  /// Not taken by any run, kept for gangs or for what others make way for.
+  /// Idle, but reserved for gangs or for steps that preempted others.
   std::int64_t kept = 0;
-  /// Not taken by any run, and free for whatever fits.
+  /// Idle and available to any step.
   std::int64_t open = 0;
 };
 
@@ -157,27 +159,28 @@
   std::vector<StepWait> waits;
   std::vector<AdviceRequest> advice_requests;
   IdleAccelerators idle_accelerators;
-  /// Steps that wait, for whatever reason.
+  /// Steps that wait for any reason.
   int steps_waiting = 0;
-  /// Steps that were tried, as a measure of the pass's cost.
+  /// Steps that the pass tried to place; a measure of its cost.
   int steps_tried = 0;
 };
 
-/// Greedy planner: urgent work within its workspace's guarantee first, then in
-/// the order of its policy; displaces others for the former, and where the
-/// policy says so.
+/// Greedy planner. Places urgent work within its workspace's guarantee first,
+/// then everything else in the order of the policy. Preempts runs for work
+/// within its guarantee and where the policy allows it.
 ///
 /// Thread safety: none; use it from one thread.
 class Planner {
  public:
   explicit Planner(PlannerOptions options = {}) : options_(options) {}
 
-  /// Decides on everything that can be decided now. The state of `jobs` and
-  /// `fleet` is not changed but for the time since when steps are ready.
+  /// Runs one planning pass. Changes nothing in `jobs` and `fleet` except the
+  /// time since when steps are ready.
   Plan Decide(TimePoint now, std::int64_t wall_ms, const Catalog& catalog,
               const RunTimeEstimator& times, const TicketCache& advice,
               JobRegistry* jobs, Fleet* fleet);
-  /// When a step that waits for its due time or its patience comes next.
+  /// The next time at which a waiting step becomes due or one of its waits
+  /// ends.
   TimePoint next_at() const { return next_at_; }
 
  private:
@@ -188,35 +191,35 @@
     Step* step = nullptr;
     const StepSpec* spec = nullptr;
     QueuePolicy policy;
-    /// What the planner's policy goes by.
+    /// The step's attributes that the policy compares.
     StepRank rank;
-    /// Latest start that still meets the deadline.
+    /// Latest start that meets the deadline.
     std::int64_t latest_start_wall_ms = 0;
     std::vector<int> waiting;
 
-    /// True if the task of that index may be what crashed its runners.
+    /// True if the task with that index is suspected of crashing its runners.
     bool IsSuspectTask(int index) const {
       return IsSuspect(step->tasks[index].losses);
     }
   };
-  /// Room that was made by displacing, until it is free.
+  /// Capacity reserved for a step until the runs preempted for it have stopped.
   struct Reservation {
     std::vector<RunnerId> runners;
     TimePoint since;
   };
-  /// One pass over all pending_steps.
+  /// One pass over all pending steps.
   class Pass;
 
   PlannerOptions options_;
   std::map<StepName, Reservation> reservations_;
-  /// Why steps waited in the last pass.
+  /// Reasons from the previous pass.
   std::map<StepName, WaitReason> waits_;
   int passes_ = 0;
   TimePoint next_at_;
 };
 
-/// The policy in force for a job: its queue's newest, or the one it was
-/// accepted with when the queue is gone.
+/// The policy that applies to a job: its queue's current one, or the one it was
+/// accepted with if the queue no longer exists.
 QueuePolicy PolicyOf(const Job& job, const Catalog& catalog);
 
 }  // namespace limeledge::dispatch
--- a/src/dispatch/planner_pass.h
+++ b/src/dispatch/planner_pass.h
@@ -1,5 +1,5 @@
 /// @file
-/// One pass of the planner over all steps that have tasks to start.
+/// One planning pass over all steps that have tasks to start.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,38 +19,41 @@
 
 namespace limeledge::dispatch {
 
-/// A task off its data, or of a gang over several racks, takes so many times as
-/// long; runners say the same on every site so far.
+/// Factor by which a task takes longer away from its data, or in a gang spread
+/// over several racks. The same at every site so far, as reported by the
+/// runners.
 inline constexpr int kRemoteSlowdown = 3;
 
-/// One pass over all pending_steps: collects and orders them, places what fits,
-/// and makes room for what does not.
+/// One planning pass: collects and sorts the pending steps, places those that
+/// fit, and preempts runs or reserves capacity for those that do not.
 ///
-/// Thread safety: none; it lives within one call of `Planner::Decide`.
+/// Thread safety: none; lives within one call of `Planner::Decide`.
 class Planner::Pass {
  public:
-  /// All that is given must outlive the pass.
+  /// All arguments must outlive the pass.
   Pass(Planner* planner, TimePoint now, std::int64_t wall_ms,
        const Catalog& catalog, const RunTimeEstimator& times,
        const TicketCache& advice, JobRegistry* jobs, Fleet* fleet);
 
-  /// Makes the pass. Call it once.
+  /// Runs the pass. Call it once.
   Plan Decide();
 
  private:
-  /// Seats for all tasks of a step, and how long until the last is free.
+  /// Candidates for all tasks of a step, and the time until the last one has
+  /// free capacity.
   struct CapacityForecast {
     std::vector<Candidate*> candidates;
     Duration until;
   };
-  /// Room for one task on a candidate, and what it costs to have it.
+  /// A placement for one task, and the runs that must be preempted for it.
   struct PreemptionOption {
     Candidate* candidate = nullptr;
     std::int64_t cost = 0;
     std::vector<TaskName> victims;
   };
-  /// Openings on one candidate that are taken from the first on: what a stopped
-  /// run leaves for further tasks is only there once that run is stopped.
+  /// Options on one candidate that must be taken in order: capacity that a
+  /// preempted run leaves for further tasks exists only once that run is
+  /// preempted.
   struct PreemptionSequence {
     std::vector<PreemptionOption> options;
     std::int64_t cost = 0;
@@ -61,155 +64,158 @@
   };
 
   void WakeAt(TimePoint at);
-  /// Notes why a step waits; the plan tells it when that is new.
+  /// Records why a step waits and adds it to the plan if the reason is new.
   void RecordWait(const PendingStep& pending, WaitReason reason);
-  /// Keeps the reason of a step that is not tried in this pass.
+  /// Keeps the previous reason of a step that is not tried in this pass.
   void KeepWaitReason(const PendingStep& pending);
-  /// What is idle after this pass, and for whom.
+  /// Counts the accelerators that stay idle after this pass.
   IdleAccelerators MeasureIdleAccelerators();
 
-  // Units and their order.
-  /// Chooses the racks that only urgent work is placed on: always the same
-  /// ones while the fleet stays the same. Adds up their room.
+  // Pending steps and their order.
+  /// Selects the racks where only urgent work is placed and adds up their
+  /// capacity. The selection is the same as long as the fleet is the same.
   void SelectUrgentRacks();
-  /// Urgent jobs within their workspaces' guarantees, oldest first.
+  /// Urgent jobs that fit in their workspaces' guarantees, oldest first.
   std::set<JobId> FindJobsWithinGuarantee();
   void CollectPendingSteps();
-  /// The most urgent first.
+  /// Sorts the steps by the policy, first to place first.
   void SortPendingSteps();
   void CollectOccurrence(Job* job, int number);
   void CollectStep(Job* job, int number, int index);
-  /// True while runners may hold runs that are not known yet, or have a smaller
-  /// room than is known, and do not refuse by themselves what is too much.
+  /// True if a start could exceed a runner's capacity: some runs or current
+  /// capacities are not known, and the service's runners do not enforce their
+  /// capacity themselves.
   bool MayOvercommit(const ServiceId& service) const;
   void SetRank(const Occurrence& occurrence, int step, PendingStep* pending);
-  /// How the pending stands against its `objective`, in milliseconds.
+  /// Compares the step's latest start with the current time; `objective` is in
+  /// milliseconds.
   DeadlineStatus DeadlineStatusOf(const PendingStep& pending,
                                   std::int64_t objective) const;
 
-  // Places for what fits.
+  // Placement of steps that fit.
   Duration LocalityWaitOf(const PendingStep& pending) const;
   PlacementRequest RequestFor(const PendingStep& pending);
-  /// True if a further failure after so many is final, and the step is not to
-  /// be kept from idle runners for long.
+  /// True if one more failure after `failures` is final, and the step can still
+  /// wait for a runner without recent failures.
   bool NeedsReliableRunner(const PendingStep& pending, int failures);
-  /// Under a backlog, gangs of other work take turns.
+  /// Returns false for gangs that skip this pass under a backlog.
   bool IsTriedInThisPass(const PendingStep& pending);
-  /// True if the policy lets nothing overtake what did not fit before.
+  /// True if an earlier step does not fit and the policy forbids backfill.
   bool IsBlocked(const PendingStep& pending) const;
   void Place(PendingStep* pending);
-  /// Wishes for tickets at the runners that suit the step, those with room
+  /// Requests tickets for the eligible runners, those with enough free capacity
   /// first.
   void RequestAdviceFor(const PendingStep& pending,
                         const PlacementRequest& request);
   void PlaceGang(PendingStep* pending, PlacementRequest* request);
-  /// True if a gang that could begin far from its data, or spread over racks,
-  /// is expected to be done sooner by waiting for a good place.
+  /// True if a gang that could start away from its data or spread over racks is
+  /// expected to finish sooner by waiting for a better place.
   bool FinishesSoonerByWaiting(const PendingStep& pending,
                                const PlacementRequest& request);
-  /// Has the request look for runners where the least is lost if they crash.
+  /// Makes the request prefer runners where a crash would lose the least work.
   void MinimizeWorkAtRisk(PlacementRequest* request);
-  /// What the step's tasks are expected to take on good places.
+  /// Expected run time of a task near its data and with its gang in one rack.
   Duration ExpectedTimeNear(const PendingStep& pending) const;
-  /// True if a task that takes no more was found to fit nowhere in this pass.
+  /// True if this pass found no place for a task that needs no more than this
+  /// one.
   bool IsKnownNotToFit(const PendingStep& pending) const;
   void PlaceTasks(PendingStep* pending, PlacementRequest* request);
-  /// What became of the tasks of a step that is no gang.
+  /// Result of placing the tasks of a step that is not a gang.
   struct TaskPlacementResult {
     int tasks = 0;
-    /// Last attempts that no sure runner has room for.
+    /// Final attempts that found no runner without recent failures.
     int deferred = 0;
   };
-  /// Places the tasks one by one, up to the first that fits nowhere.
+  /// Places tasks one by one until one does not fit.
   TaskPlacementResult PlaceFittingTasks(PendingStep* pending,
                                         PlacementRequest* request);
-  /// True if the step may run on any runner of its service: what has no room
-  /// for it has none for others as large.
+  /// True if the step may run on any runner of its service. If it does not fit,
+  /// no step that needs at least as much fits either.
   static bool IsUnconstrained(const PendingStep& pending,
                               const PlacementRequest& request);
-  /// True if enough of the urgent racks stays idle, in accelerators and in
-  /// cores, beside so many further tasks of the step.
+  /// True if enough accelerators and cores of the urgent racks stay idle after
+  /// placing `tasks` more tasks of the step there.
   bool LeavesHeadroom(const PendingStep& pending, int tasks) const;
-  /// The same request with the urgent racks open to it; nothing if too little
-  /// would stay idle there beside so many tasks.
+  /// Returns the request with the urgent racks allowed, or nothing if the step
+  /// may not use them for that many tasks.
   std::optional<PlacementRequest> WithUrgentRacks(
       const PendingStep& pending, const PlacementRequest& request,
       int tasks) const;
-  /// As in `CandidatePool`, and in the urgent racks where there is no other
-  /// room.
+  /// Like `CandidatePool`, but falls back to the urgent racks.
   Candidate* PlaceOne(const PendingStep& pending,
                       const PlacementRequest& request);
   std::vector<Candidate*> PlaceAll(const PendingStep& pending,
                                    const PlacementRequest& request);
-  /// True if the step is about to miss its objective, or has missed it.
+  /// True if the step must start soon to meet its objective, or has missed it.
   bool IsNearDeadline(const PendingStep& pending) const;
   void Assign(const PendingStep& pending, int index, int run,
               Candidate* candidate, bool spread);
 
-  // Room for what does not fit.
-  /// For what did not fit: keeps room that was made, displaces others, or
-  /// keeps room for a gang that waits long.
+  // Preemption and reservation for steps that do not fit.
+  /// Keeps the step's reservation if it has one. Otherwise preempts runs for
+  /// the step or, for a gang that has waited long enough, reserves capacity.
   void AcquireCapacity(const PendingStep& pending,
                        const PlacementRequest& request);
-  /// The same for what has no reservation to room that was made; returns why it
-  /// waits.
+  /// The same for a step without a reservation. Returns why it waits.
   WaitReason PreemptOrReserve(const PendingStep& pending,
                               const PlacementRequest& request);
-  /// Entitled work may displace others; other work where the policy says so.
+  /// True if the step may preempt other runs at all: it is within its
+  /// guarantee, or the policy allows it.
   bool MayPreemptAny(const PendingStep& pending);
-  /// True from shortly before the last moment at which the objective can be met
-  /// until the step is worth nothing.
+  /// True from shortly before the step's latest start until it is worthless.
   bool MayPreemptForDeadline(const PendingStep& pending);
   void ReserveOn(const PendingStep& pending,
                  const std::vector<RunnerId>& runners);
-  /// Core-milliseconds that are lost when the run is stopped.
+  /// Work lost by stopping the run, in weighted core-milliseconds.
   std::int64_t PreemptionCost(const TaskName& name, const Run& run);
-  /// Urgent work displaces other work; within its guarantee also urgent work
-  /// of workspaces that are beyond theirs.
+  /// True if the step may preempt this run. A step preempts lower priorities;
+  /// within its guarantee it also preempts urgent work beyond its own
+  /// guarantee.
   bool MayPreempt(const PendingStep& pending, const TaskName& name,
                   const Run& run);
-  /// Openings on one candidate in rising cost, at most `limit`.
+  /// Returns at most `limit` options on one candidate, cheapest first.
   std::vector<PreemptionOption> PreemptionOptionsOn(const PendingStep& pending,
                                                     Candidate* candidate,
                                                     int limit);
-  /// The same in sequences, so that no sequence costs less for each task than
-  /// the one before it.
+  /// Groups the options into sequences whose mean cost does not decrease.
   std::vector<PreemptionSequence> PreemptionSequencesOn(
       const PendingStep& pending, Candidate* candidate, int limit);
-  /// The cheapest options among `candidates`; empty if there are not enough.
+  /// The cheapest options on `candidates` for all tasks of the request; empty
+  /// if there are too few.
   std::vector<PreemptionOption> CheapestOptions(
       const PendingStep& pending, const std::vector<Candidate*>& candidates,
       const PlacementRequest& request);
-  /// The suitable candidates that the step's tasks may share: by rack, and all.
+  /// Eligible candidates grouped by where the step's tasks may run together: by
+  /// rack, and all of them under an empty key.
   std::map<std::string, std::vector<Candidate*>> GroupCandidates(
       const PendingStep& pending, const PlacementRequest& request);
-  /// Displaces what costs least, if that makes room for the whole step.
+  /// Preempts the cheapest runs that free capacity for the whole step.
   WaitReason Preempt(const PendingStep& pending,
                      const PlacementRequest& request);
-  /// The fillers on a candidate that still go on; false if one of them may not
-  /// be stopped.
+  /// Adds the best-effort runs on a candidate that are not being stopped to
+  /// `fillers`. Returns false if one of them must not be stopped.
   bool ListPreemptibleFillers(const Candidate& candidate,
                               std::vector<TaskName>* fillers);
-  /// Stops the fillers on runners that a serving step needs.
+  /// Preempts best-effort runs on runners that a latency-sensitive step needs.
   WaitReason PreemptFillers(const PendingStep& pending,
                             const PlacementRequest& request);
-  /// Stops the victims, and claims their room for the step.
+  /// Adds the preemptions to the plan and reserves the capacity for the step.
   void CommitPreemptions(const PendingStep& pending,
                          const std::vector<PreemptionOption>& options);
-  /// Keeps the runners free on which the gang is expected to be done soonest;
-  /// false if none are kept.
+  /// Reserves capacity where the gang is expected to finish first. Returns
+  /// false if none is reserved.
   bool ReserveForGang(const PendingStep& pending,
                       const PlacementRequest& request);
-  /// Where among `candidates` there is room for the whole gang soonest; nothing
-  /// if it never fits.
+  /// The candidates among which the whole gang fits earliest; nothing if it
+  /// never fits.
   std::optional<CapacityForecast> EarliestCapacity(
       const std::vector<Candidate*>& candidates,
       const PlacementRequest& request);
-  /// The same among the groups of candidates that the gang's tasks may share:
-  /// where it is done soonest, `until` being when it is.
+  /// The same over all groups of candidates that the gang may use, by the
+  /// earliest completion. `until` is the time until completion.
   std::optional<CapacityForecast> EarliestCompletion(
       const PendingStep& pending, const PlacementRequest& request);
-  /// When the candidate will have room for each further task.
+  /// Adds the times at which the candidate has capacity for one more task.
   void AddFuturePlaces(Candidate* candidate, const PlacementRequest& request,
                        std::vector<std::pair<Duration, Candidate*>>* places);
   void DropExpiredReservations();
@@ -224,23 +230,24 @@
   JobRegistry& jobs_;
   CandidatePool pool_;
   std::set<JobId> jobs_within_guarantee_;
-  /// All room of the urgent racks, whatever is taken of it.
-  Resources urgent_rack_capacity_;
-  bool idle_ = false;
+  /// Total capacity of the urgent racks, free or not.
+  Resources urgent_total_;
+  bool mostly_idle_ = false;
   bool work_at_risk_known_ = false;
-  /// All room is known; what seems short may only not be seen yet otherwise.
+  /// False while a new scheduler waits for the first answers of runners: free
+  /// capacity may exist that it does not see, so it must not preempt.
   bool free_capacity_known_ = false;
-  /// The list of runners was read lately enough to tell how large rooms are.
+  /// True if the list of runners is recent enough to trust their capacities.
   bool capacities_known_ = false;
   std::set<TaskName> preempted_;
   std::vector<PendingStep> pending_steps_;
   int reserved_gangs_ = 0;
-  int gangs_ = 0;
-  /// What was found to fit nowhere any more, by service.
+  int gangs_seen_ = 0;
+  /// Requirements that fit nowhere any more in this pass, by service.
   std::map<ServiceId, std::vector<Resources>> unplaceable_;
-  /// Services of which something did not fit.
+  /// Services with a step that did not fit.
   std::set<ServiceId> blocked_services_;
-  /// Why steps wait in this pass.
+  /// Reasons from this pass.
   std::map<StepName, WaitReason> waits_;
   Plan plan_;
 };
--- a/src/dispatch/planner_placement.cc
+++ b/src/dispatch/planner_placement.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The planner's places: which runners take the tasks of a step.
+/// Placement in a planning pass: which runners get the tasks of a step.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -33,7 +33,7 @@
   if (pending.policy.priority == 0) {
     request.urgent_racks = UrgentRacks::kPreferred;
     request.prefers_fast = true;
-  } else if (!idle_ || !request.ignore_locality) {
+  } else if (!mostly_idle_ || !request.ignore_locality) {
     request.urgent_racks = UrgentRacks::kClosed;
   }
   return request;
@@ -42,7 +42,7 @@
 bool Planner::Pass::NeedsReliableRunner(const PendingStep& pending,
                                         int failures) {
   if (failures + 1 < pending.policy.max_attempts) return false;
-  if (!idle_) return true;
+  if (!mostly_idle_) return true;
   const TimePoint end = pending.step->ready_since + options_.last_attempt_wait;
   WakeAt(end);
   return now_ < end;
@@ -50,9 +50,10 @@
 
 bool Planner::Pass::IsTriedInThisPass(const PendingStep& pending) {
   if (pending.policy.priority == 0 || !pending.spec->gang) return true;
-  ++gangs_;
-  if (gangs_ <= options_.gangs_per_pass) return true;
-  return (gangs_ + planner_.passes_) % options_.remaining_gangs_interval == 0;
+  ++gangs_seen_;
+  if (gangs_seen_ <= options_.gangs_per_pass) return true;
+  return (gangs_seen_ + planner_.passes_) % options_.remaining_gangs_interval ==
+         0;
 }
 
 bool Planner::Pass::IsBlocked(const PendingStep& pending) const {
@@ -105,20 +106,21 @@
                                             const PlacementRequest& request) {
   const bool may_be_far =
       pending.spec->same_rack || !pending.spec->data_rack.empty();
-  // Urgent work has to begin within its guarantee.
+  // Urgent work must start within its guarantee.
   if (!request.ignore_locality || !may_be_far || pending.policy.priority == 0) {
     return false;
   }
-  // By the end of this, it would have been done ignore_locality.
+  // Waiting any longer than this cannot pay off: started anywhere, the gang
+  // would be done by then.
   const TimePoint longest_wait =
       pending.step->ready_since + LocalityWaitOf(pending) +
       ExpectedTimeNear(pending) * (kRemoteSlowdown - 1);
   if (now_ >= longest_wait) return false;
-  const bool seems_forgotten =
+  const bool has_waited_long =
       now_ - pending.step->ready_since >=
           options_.max_locality_wait_with_free_capacity &&
       pool_.FitsMultiple(request, 2);
-  if (seems_forgotten) return false;
+  if (has_waited_long) return false;
   PlacementRequest near = request;
   near.ignore_locality = false;
   const std::optional<CapacityForecast> forecast =
@@ -179,9 +181,8 @@
   };
   const Resources& need = pending.spec->need;
   return leaves(need.accelerators, idle.accelerators,
-                urgent_rack_capacity_.accelerators) &&
-         leaves(need.cpu_millis, idle.cpu_millis,
-                urgent_rack_capacity_.cpu_millis);
+                urgent_total_.accelerators) &&
+         leaves(need.cpu_millis, idle.cpu_millis, urgent_total_.cpu_millis);
 }
 
 std::optional<PlacementRequest> Planner::Pass::WithUrgentRacks(
@@ -189,7 +190,7 @@
     int tasks) const {
   const bool closed = request.urgent_racks == UrgentRacks::kClosed;
   if (!closed || !request.ignore_locality) return std::nullopt;
-  // What can not make way again would take the racks for good.
+  // Steps that cannot be preempted would block the racks for urgent work.
   if (!pending.spec->preemptible()) return std::nullopt;
   if (!LeavesHeadroom(pending, tasks)) return std::nullopt;
   PlacementRequest widened = request;
@@ -252,7 +253,7 @@
     if (pending->IsSuspectTask(index)) MinimizeWorkAtRisk(request);
     request->is_last_attempt =
         NeedsReliableRunner(*pending, pending->step->tasks[index].failures);
-    // Others of the step may fit where last attempts must not go.
+    // Other tasks of the step may fit where final attempts must not run.
     const bool also_deferred = request->is_last_attempt && placed.deferred > 0;
     Candidate* candidate =
         also_deferred ? nullptr : PlaceOne(*pending, *request);
--- a/src/dispatch/planner_preemption.cc
+++ b/src/dispatch/planner_preemption.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The planner's room: which runs make way, and what is kept free for whom.
+/// Preemption and reservation in a planning pass.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,7 +16,8 @@
 namespace {
 
 constexpr std::int64_t kMillisPerCore = 1000;
-// Runners save progress every second or two: more is not lost by a stop.
+// Runs that save their progress do so every second or two, which bounds the
+// loss by a stop.
 constexpr Duration kUnsavedProgress{1000};
 
 }  // namespace
@@ -48,12 +49,11 @@
   WaitReason reason = WaitReason::kNoCapacity;
   if (MayPreemptAny(pending)) {
     reason = Preempt(pending, request);
-    // Nothing is above urgent work, so that it need not keep what is free.
+    // No step has a higher priority, so free capacity needs no reservation.
     if (pending.policy.priority == 0) return reason;
   }
   const bool waits = reason != WaitReason::kPreempting && pending.spec->gang;
-  if (waits && ReserveForGang(pending, request))
-    return WaitReason::kCapacityReserved;
+  if (waits && ReserveForGang(pending, request)) return WaitReason::kReserved;
   return reason;
 }
 
@@ -78,9 +78,8 @@
     WakeAt(now_ + left - options_.deadline_margin);
     return false;
   }
-  // Late work is still of worth, and would wait behind lower priorities that
-  // took its place: on the most loaded of fourteen days, gangs of a middle
-  // queue earned 0.32 of what they could by this, 0.27 without.
+  // Late work still earns something and would starve behind lower priorities
+  // that take its place.
   return pending.rank.deadline_status != DeadlineStatus::kWorthless;
 }
 
@@ -189,7 +188,7 @@
     sequences.insert(sequences.end(), std::make_move_iterator(own.begin()),
                      std::make_move_iterator(own.end()));
   }
-  // Rows of one candidate stay in their order.
+  // A stable sort keeps the sequences of one candidate in order.
   std::stable_sort(
       sequences.begin(), sequences.end(),
       [](const PreemptionSequence& a, const PreemptionSequence& b) {
@@ -214,7 +213,7 @@
   for (Candidate& candidate : pool_.candidates()) {
     if (!CandidatePool::MeetsConstraints(candidate, request)) continue;
     if (one_rack) groups[candidate.rack].push_back(&candidate);
-    // The key of no rack: all of them.
+    // The empty key groups all candidates, whatever their rack.
     if (!one_rack || request.ignore_locality) groups[""].push_back(&candidate);
   }
   return groups;
--- a/src/dispatch/planner_steps.cc
+++ b/src/dispatch/planner_steps.cc
@@ -1,6 +1,5 @@
 /// @file
-/// The planner's pending_steps: which steps have tasks to start, and in which
-/// order.
+/// The pending steps of a planning pass and their order.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,12 +15,12 @@
 
 namespace {
 
-std::int64_t Accelerators(const JobSpec& spec) {
-  std::int64_t most = 0;
+std::int64_t PeakAccelerators(const JobSpec& spec) {
+  std::int64_t max_needed = 0;
   for (const StepSpec& step : spec.steps) {
-    most = std::max(most, step.need.accelerators * step.count);
+    max_needed = std::max(max_needed, step.need.accelerators * step.count);
   }
-  return most * spec.occurrences();
+  return max_needed * spec.occurrences();
 }
 
 }  // namespace
@@ -41,20 +40,19 @@
     free += candidate.room.accelerators;
   }
   const double used = static_cast<double>(all - free);
-  idle_ = used < options_.idle_share * static_cast<double>(all);
+  mostly_idle_ = used < options_.idle_share * static_cast<double>(all);
   double left = options_.urgent_share * static_cast<double>(runners);
   std::vector<bool> is_urgent(pool_.rack_count());
   for (const auto& [rack, number] : number_of_rack) {
     const auto size = static_cast<double>(size_of_rack[number]);
     left -= size;
-    // Rounded to the nearest number of racks.
+    // Rounds to the nearest number of racks.
     if (left < -size / 2) break;
     is_urgent[number] = true;
   }
   for (Candidate& candidate : pool_.candidates()) {
     candidate.urgent_rack = is_urgent[candidate.rack_number];
-    if (candidate.urgent_rack)
-      urgent_rack_capacity_ += candidate.runner->info().room;
+    if (candidate.urgent_rack) urgent_total_ += candidate.runner->info().room;
   }
 }
 
@@ -74,7 +72,7 @@
     });
     std::int64_t left = found->second.guaranteed_accelerators;
     for (const Job* job : jobs) {
-      const std::int64_t need = Accelerators(job->spec());
+      const std::int64_t need = PeakAccelerators(job->spec());
       if (need > left) continue;
       left -= need;
       within_guarantee.insert(job->spec().id);
@@ -134,7 +132,7 @@
   pending.job = job;
   pending.step = &step;
   pending.spec = &job->step_spec(index);
-  // A gang starts anew only when the last of its old runs is over.
+  // A gang restarts only after all its earlier runs have ended.
   if (pending.spec->gang && pending.waiting.size() != step.tasks.size()) return;
   pending.policy = PolicyOf(*job, catalog_);
   if (MayOvercommit(pending.policy.service)) return;
--- a/src/dispatch/planning_policy.cc
+++ b/src/dispatch/planning_policy.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The policies of the planner.
+/// The planning policies.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,26 +13,24 @@
 
 namespace {
 
-/// By priority, deadline_status and time left; displaces for what is urgent or
-/// runs out of time. What can be in time goes before what is late: under load,
-/// each late step that goes first makes the next one late. On the most loaded
-/// of fourteen days, gangs of a middle queue earned 0.46 of what they could by
-/// it, 0.33 without.
+/// Orders by priority, deadline status and deadline; preempts for urgent work
+/// and near deadlines. On-time steps precede late ones: under load, placing a
+/// late step first makes the next one late as well.
 class DeadlinePolicy : public PlanningPolicy {
  public:
   std::string_view name() const override { return "deadline"; }
   bool Precedes(const StepRank& a, const StepRank& b) const override {
-    // Outlooks are declared in the order in which they are served.
+    // `DeadlineStatus` values are declared in the order of placement.
     return std::tie(a.priority, a.deadline_status, a.deadline_wall_ms, a.name) <
            std::tie(b.priority, b.deadline_status, b.deadline_wall_ms, b.name);
   }
   bool ForbidsBackfill() const override { return false; }
   bool PreemptsNearDeadline() const override { return true; }
   bool PreemptsBeyondGuarantee() const override { return true; }
-  int MaxReservedGangs(int most) const override { return most; }
+  int MaxReservedGangs(int limit) const override { return limit; }
 };
 
-/// By age alone; a baseline. Nothing overtakes what does not fit.
+/// First in, first out, without backfill; a baseline.
 class FifoPolicy : public PlanningPolicy {
  public:
   std::string_view name() const override { return "fifo"; }
@@ -46,7 +44,8 @@
   int MaxReservedGangs(int) const override { return 0; }
 };
 
-/// By age, but what fits overtakes; room is kept for the oldest gang only.
+/// Like `FifoPolicy`, but with backfill; reserves capacity for the first gang
+/// that does not fit.
 class BackfillPolicy : public FifoPolicy {
  public:
   std::string_view name() const override { return "backfill"; }
--- a/src/dispatch/planning_policy.h
+++ b/src/dispatch/planning_policy.h
@@ -1,6 +1,6 @@
 /// @file
-/// In which order waiting steps are placed, and what is done for those that do
-/// not fit; chosen by name.
+/// Policies that order the waiting steps and decide on preemption, backfill and
+/// reservations. Selected by name.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,26 +17,26 @@
 
 namespace limeledge::dispatch {
 
-/// How a waiting step stands against its objective, in the order in which the
-/// default policy serves steps of one priority.
+/// State of a waiting step relative to its objective, in the order in which the
+/// default policy places steps of one priority.
 enum class DeadlineStatus {
-  /// It has been late for so long that nothing may overtake it any more.
+  /// Late for so long that it is placed before all others of its priority.
   kOverdue,
-  /// It can still be done by its objective.
+  /// Can still finish by its objective.
   kOnTime,
-  /// It can not, and is of less worth.
+  /// Cannot finish by its objective and is worth less.
   kLate,
-  /// It is of no worth any more.
+  /// Finishing it earns nothing any more.
   kWorthless,
 };
 
-/// What a policy may go by.
+/// Attributes of a waiting step that a policy compares.
 struct StepRank {
   StepName name;
-  /// Urgent and within its workspace's guarantee.
+  /// The step is urgent and fits in its workspace's guarantee.
   bool within_guarantee = false;
-  /// Entitled, and waiting for longer than room that is made for it is kept:
-  /// its guarantee runs out.
+  /// The step is within its guarantee and has waited longer than a reservation
+  /// lasts, so the guarantee is about to be missed.
   bool guarantee_expiring = false;
   int priority = 0;
   DeadlineStatus deadline_status = DeadlineStatus::kOnTime;
@@ -44,8 +44,9 @@
   std::int64_t deadline_wall_ms = 0;
 };
 
-/// A policy of the planner. Guarantees are kept whatever it says:
-/// within_guarantee steps go first and may displace others.
+/// Ordering, preemption and reservation rules of the planner. Guarantees hold
+/// under every policy: steps within their guarantee are placed first and may
+/// preempt others.
 ///
 /// Thread safety: immutable.
 class PlanningPolicy {
@@ -53,28 +54,29 @@
   virtual ~PlanningPolicy() = default;
 
   virtual std::string_view name() const = 0;
-  /// True if `a` is placed before `b`; a strict order.
+  /// True if `a` is placed before `b`; a strict ordering.
   virtual bool Precedes(const StepRank& a, const StepRank& b) const = 0;
-  /// True if nothing of a service overtakes a step that does not fit.
+  /// True if a step that does not fit blocks all later steps of its service.
   virtual bool ForbidsBackfill() const = 0;
-  /// True if a step that runs out of time may displace lower priorities.
+  /// True if a step near its deadline may preempt lower priorities.
   virtual bool PreemptsNearDeadline() const = 0;
-  /// True if urgent work beyond its guarantee may displace other work.
+  /// True if urgent work beyond its guarantee may preempt lower priorities.
   virtual bool PreemptsBeyondGuarantee() const = 0;
-  /// Gangs that room is kept free for at once, of at most `most`.
-  virtual int MaxReservedGangs(int most) const = 0;
+  /// Number of gangs, at limit `limit`, that may have capacity reserved at
+  /// once.
+  virtual int MaxReservedGangs(int limit) const = 0;
 };
 
-/// True if `a` is placed before `b`: guarantees come before any policy. Steps
-/// whose guarantee runs out go first, the oldest of them foremost, or the room
-/// that others make way for would go to one within_guarantee step after the
-/// other that came later. Safe from any thread.
+/// True if `a` is placed before `b`. Steps within their guarantee precede all
+/// others. Among those, steps whose guarantee is about to be missed come first,
+/// oldest first; otherwise capacity freed for them could go to newer steps
+/// again and again. Safe from any thread.
 bool IsPlacedBefore(const PlanningPolicy& policy, const StepRank& a,
                     const StepRank& b);
 
-/// The policy of that name; null if there is none. Safe from any thread.
+/// The policy with that name; null if there is none. Safe from any thread.
 const PlanningPolicy* FindPlanningPolicy(std::string_view name);
-/// The policy that is used when none is named. Safe from any thread.
+/// The policy used if none is named. Safe from any thread.
 const PlanningPolicy& DefaultPlanningPolicy();
 /// Names of all policies, the default first. Safe from any thread.
 std::vector<std::string> PlanningPolicyNames();
--- a/src/dispatch/run_time_estimator.cc
+++ b/src/dispatch/run_time_estimator.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Learning run statistics in logarithms, since guesses are off by factors.
+/// Statistics of run times. They use logarithms because callers' estimates are
+/// off by factors.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,16 +14,16 @@
 
 namespace {
 
-// A new value's least weight: about the last forty runs count.
+// Minimum weight of a new sample: about the last 40 runs count.
 constexpr double kMinWeight = 0.025;
-// Fewer runs than this say nothing yet.
+// Minimum number of runs before an estimate is used.
 constexpr int kMinRuns = 4;
-// The variance that is assumed at first counts as so many runs.
+// Weight of the initial variance, in runs.
 constexpr int kPriorWeight = 3;
-// Keeps one lucky streak from counting as certainty.
+// Keeps a few similar runs from being taken for certainty.
 constexpr double kMinVariance = 0.01;
 
-// Standard deviations within which nearly all runs lie.
+// Standard deviations that cover nearly all runs.
 constexpr double kBoundDeviations = 2;
 
 double LogOf(Duration duration) {
@@ -34,7 +35,7 @@
 
 void RunTimeEstimator::LogStatistics::Add(double value) {
   ++count;
-  // The first value is its own mean.
+  // The mean starts at the first sample.
   if (count == 1) mean = value;
   const double off = value - mean;
   mean += std::max(1.0 / count, kMinWeight) * off;
--- a/src/dispatch/run_time_estimator.h
+++ b/src/dispatch/run_time_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long runs really take, learnt for each queue from what was seen.
+/// Estimates run times for each queue from observed runs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,26 +15,26 @@
 
 namespace limeledge::dispatch {
 
-/// Weighs callers' guesses against what the queue's runs took: the better one
-/// of the two in the past counts for more.
+/// Combines callers' estimates with the observed run times of the queue, each
+/// weighted by its past accuracy.
 ///
 /// Thread safety: none; use it from one thread.
 class RunTimeEstimator {
  public:
-  /// Notes that a run guessed at `estimate` takes `actual` in all, on a sound
-  /// runner as far as is known.
+  /// Records that a run with the caller's `estimate` takes `actual` in total on
+  /// a runner that is not known to be slow.
   void AddSample(const QueueId& queue, Duration estimate, Duration actual);
-  /// The expected time of a run guessed at `estimate`.
+  /// The expected time of a run with the caller's `estimate`.
   Duration ExpectedTime(const QueueId& queue, Duration estimate) const;
-  /// By which factor a sound run may well take longer than expected; nothing
-  /// while too little was seen of the queue.
+  /// Factor above the expected time that a run on a sound runner rarely
+  /// exceeds; nothing if too few runs of the queue were observed.
   std::optional<double> UpperBoundFactor(const QueueId& queue) const;
 
  private:
-  /// Mean and variance of a logarithm, newer values counting for more.
+  /// Exponentially weighted mean and variance of a logarithm.
   struct LogStatistics {
     double mean = 0;
-    /// At first: guesses are off by a factor of 1.6 or so.
+    /// Initial value: callers' estimates are off by a factor of about 1.6.
     double variance = 0.25;
     int count = 0;
     void Add(double value);
@@ -44,7 +44,7 @@
     LogStatistics actual;
     LogStatistics error;
   };
-  /// Null while too little was seen.
+  /// Null if too few runs were observed.
   const QueueStatistics* FindStatistics(const QueueId& queue) const;
 
   std::map<QueueId, QueueStatistics> queues_;
--- a/src/dispatch/ticket_cache.cc
+++ b/src/dispatch/ticket_cache.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Asking for tickets and keeping them.
+/// Requests and stores tickets.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -44,10 +44,10 @@
     if (request.runners.size() == options_.runners_per_call) break;
     const auto entry = entries.find(runner);
     const bool unknown = entry == entries.end();
-    const bool runs_out =
+    const bool expires_soon =
         !unknown && entry->second.permitted &&
         ctx.now() + options_.ticket_margin * 2 >= entry->second.valid_until;
-    if (unknown || runs_out) request.runners.push_back(runner);
+    if (unknown || expires_soon) request.runners.push_back(runner);
   }
   if (request.runners.empty()) return;
   request_in_flight_ = true;
--- a/src/dispatch/ticket_cache.h
+++ b/src/dispatch/ticket_cache.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tickets of the service that says on which runners a step may run.
+/// Caches tickets of the advice service, which decides where steps may run.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,49 +16,49 @@
 
 namespace limeledge::dispatch {
 
-/// Sizes and times of asking for advice.
+/// Limits and delays of requests to the advice service.
 struct AdviceOptions {
-  /// Runners that one call asks about; callers' objectives count such a call.
+  /// Maximum number of runners in one request. Requests count towards the
+  /// objectives of callers.
   std::size_t runners_per_call = 30;
-  /// A ticket is used only if it holds this much longer: a write to the store
-  /// and a start lie between.
+  /// Minimum remaining validity of a ticket that is used. Covers a write to the
+  /// store and the start of the run.
   Duration ticket_margin{500};
-  /// Pause after a call that failed.
+  /// Delay after a failed request.
   Duration retry_pause{250};
 };
 
-/// What is known of the runners that each step may run on. Whether a runner
-/// may run a step never changes; tickets run out.
+/// Caches the runners that each step may run on. Whether a runner may run a
+/// step never changes, but its ticket expires.
 ///
 /// Thread safety: none; use it from one thread.
 class TicketCache {
  public:
   explicit TicketCache(AdviceOptions options = {}) : options_(options) {}
 
-  /// The ticket with which the step may start at the runner now; empty for
-  /// none.
+  /// The ticket for starting the step on the runner; empty if there is none.
   std::string TicketFor(const StepName& step, const IncarnationId& runner,
                         TimePoint now) const;
-  /// Runners that `step` may start on now.
+  /// Runners where `step` may start now.
   std::set<IncarnationId> AllowedRunners(const StepName& step,
                                          TimePoint now) const;
 
-  /// Asks about some of `runners` for `step`, if no call is under way and
-  /// something is to be learnt. Runners in front go first.
+  /// Requests tickets for `step` from the first of `runners` that have none or
+  /// whose tickets expire soon, unless another request is in flight.
   void RequestTickets(Context& ctx, const StepName& step,
                       const std::vector<IncarnationId>& runners);
   void Handle(Context& ctx, const AdviceReceived& answer);
-  /// Forgets the job's steps.
+  /// Removes the job's steps.
   void Forget(const JobId& job);
-  /// The process stood still for `time`: tickets that were under way are as
-  /// much older than they seem.
+  /// Accounts for a pause of the process: tickets of the request in flight are
+  /// older by `time` than their arrival suggests.
   void HandleProcessPause(Duration time) {
     if (request_in_flight_) paused_ = paused_ + time;
   }
 
  private:
   struct Entry {
-    /// False for ever if the runner may not run the step.
+    /// False if the runner may not run the step; this never changes.
     bool permitted = false;
     std::string ticket;
     TimePoint valid_until;
@@ -66,7 +66,7 @@
 
   AdviceOptions options_;
   bool request_in_flight_ = false;
-  /// How long the process stood still since the call under way was sent.
+  /// Total pause of the process since the request in flight was sent.
   Duration paused_;
   TimePoint next_request_at_;
   std::map<StepName, std::map<IncarnationId, Entry>> entries_;
