--- a/test/hall-emptying-test.cc
+++ b/test/hall-emptying-test.cc
@@ -1,10 +1,8 @@
 /// @file
-/// Tests of halls that are to be emptied.
+/// Tests of draining a hall.
 //
-// Seen: tasks started in a zone five seconds after its evacuation had been
-// acknowledged. Cause: of the operator's rows only the configuration was read.
-// Proof: the same days played again, and these tests, the first and the third
-// of which fail without it.
+// Tasks kept starting in a hall after its evacuation had been acknowledged,
+// because the scheduler read only the configuration among the operator's rows.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -30,7 +28,7 @@
 
 TEST_GROUP_BASE(HallEmptying, HallEmptyingFixture){};
 
-TEST(HallEmptying, NothingStartsInAHallThatIsToBeEmptied) {
+TEST(HallEmptying, NothingStartsInADrainedHall) {
   system.SetEmptied(hall, true);
   system.Run(Duration(6000));
   for (int i = 0; i < 8; ++i) Submit(Step(8, 1, Duration(4000)), i % 2);
@@ -40,7 +38,7 @@
   CheckNoViolation();
 }
 
-TEST(HallEmptying, HallThatIsGivenBackIsUsedAgain) {
+TEST(HallEmptying, UndrainedHallIsUsedAgain) {
   system.SetEmptied(hall, true);
   system.Run(Duration(3000));
   system.SetEmptied(hall, false);
@@ -50,7 +48,7 @@
   CHECK_TRUE(RunsInHall(&system) > 0);
 }
 
-TEST(HallEmptying, SchedulerThatTakesOverKnowsTheHallsThatAreToBeEmptied) {
+TEST(HallEmptying, NewLeaderKnowsTheDrainedHalls) {
   system.SetEmptied(hall, true);
   system.Run(Duration(6000));
   system.KillNode(system.leader(), Duration(1000));
@@ -60,8 +58,9 @@
   CheckNoViolation();
 }
 
-// What runs there goes on: the runners are still there, and it may be done.
-TEST(HallEmptying, WhatRunsInAHallThatIsToBeEmptiedGoesOn) {
+// Draining a hall must not stop its runs: the runners are still there and the
+// runs may finish.
+TEST(HallEmptying, RunsInADrainedHallContinue) {
   const JobId job = Submit(Step(8, 1, Duration(6000)), 0);
   system.Run(Duration(1000));
   system.SetEmptied(hall, true);
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of choosing runners for tasks.
+/// Tests of the selection of runners for tasks.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -34,7 +34,7 @@
     runners.push_back(std::make_unique<Runner>(info));
   }
 
-  CandidatePool Seats() {
+  CandidatePool Pool() {
     std::vector<Candidate> candidates;
     for (const auto& runner : runners) {
       Candidate candidate;
@@ -55,10 +55,10 @@
   }
 };
 
-TEST(Placement, SingleTaskGoesWhereTheLeastIsLeft) {
+TEST(Placement, SingleTaskGoesToTheBestFit) {
   Add("large", "r1-1", 8);
   Add("small", "r1-1", 2);
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   STRCMP_EQUAL("small",
                pool.PlaceOne(Request(1))->runner->id().value().c_str());
 }
@@ -67,17 +67,17 @@
   Add("i-1", "r1-1", 4);
   Add("i-2", "r1-2", 4);
   step.need.accelerators = 2;
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   LONGS_EQUAL(0, pool.PlaceAll(Request(5)).size());
   LONGS_EQUAL(4, pool.PlaceAll(Request(4)).size());
 }
 
-TEST(Placement, GangOfOneRackIsNotSpreadBeforeItsPatienceIsOver) {
+TEST(Placement, GangOfOneRackIsNotSpreadBeforeItsLocalityWaitEnds) {
   Add("i-1", "r1-1", 4);
   Add("i-2", "r1-2", 4);
   step.need.accelerators = 4;
   step.same_rack = true;
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   PlacementRequest request = Request(2);
   LONGS_EQUAL(0, pool.PlaceAll(request).size());
   request.ignore_locality = true;
@@ -90,7 +90,7 @@
   step.data_rack = "r1-2";
   PlacementRequest request = Request(1);
   request.ignore_locality = true;
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   STRCMP_EQUAL("near", pool.PlaceOne(request)->runner->id().value().c_str());
 }
 
@@ -101,7 +101,7 @@
   PlacementRequest request = Request(2);
   request.ignore_locality = true;
   request.urgent_racks = UrgentRacks::kPreferred;
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   pool.candidates()[0].urgent_rack = true;
   const std::vector<Candidate*> candidates = pool.PlaceAll(request);
   LONGS_EQUAL(2, candidates.size());
@@ -114,26 +114,26 @@
   step.data_rack = "r1-2";
   PlacementRequest request = Request(1);
   request.ignore_locality = true;
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   pool.candidates()[1].suspect = true;
   STRCMP_EQUAL("far", pool.PlaceOne(request)->runner->id().value().c_str());
 }
 
-TEST(Placement, RequiredLabelIsNeverPassedOver) {
+TEST(Placement, RequiredLabelIsNeverIgnored) {
   Add("i-1", "r1-1", 8);
   step.required_label = "b";
   PlacementRequest request = Request(1);
   request.ignore_locality = true;
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   POINTERS_EQUAL(nullptr, pool.PlaceOne(request));
 }
 
-TEST(Placement, LimitPerRunnerCountsWhatRunsThere) {
+TEST(Placement, LimitPerRunnerCountsTheStepsTasksThere) {
   Add("i-1", "r1-1", 8);
   step.max_per_runner = 2;
   PlacementRequest request = Request(1);
   request.tasks_per_runner[RunnerId("i-1")] = 2;
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   POINTERS_EQUAL(nullptr, pool.PlaceOne(request));
 }
 
@@ -141,7 +141,7 @@
   Add("i-1", "r1-1", 8);
   PlacementRequest request = Request(1);
   request.urgent_racks = UrgentRacks::kClosed;
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   pool.candidates()[0].urgent_rack = true;
   POINTERS_EQUAL(nullptr, pool.PlaceOne(request));
 }
@@ -150,7 +150,7 @@
   Add("slow", "r1-1", 2);
   Add("sound", "r1-1", 8);
   for (int i = 0; i < 5; ++i) runners[0]->RecordPace(6, JobId("slow"));
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   STRCMP_EQUAL("sound",
                pool.PlaceOne(Request(1))->runner->id().value().c_str());
 }
@@ -161,30 +161,30 @@
   for (int i = 0; i < 30; ++i) runners[0]->RecordUsualPace(1.3);
   PlacementRequest request = Request(1);
   request.prefers_fast = true;
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   STRCMP_EQUAL("fast", pool.PlaceOne(request)->runner->id().value().c_str());
 }
 
-// A filler takes of the processors only what others leave.
-TEST(Placement, FillerFitsWhereAllProcessorsAreTaken) {
+// A best-effort task needs only cores that others leave unused.
+TEST(Placement, BestEffortTaskFitsWhereAllCoresAreTaken) {
   Add("i-1", "r1-1", 8);
   Run run;
   run.need = {64000, 1024, 1};
   runners[0]->Add({JobId("a"), 0, 0, 0}, run);
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   CHECK_TRUE(pool.PlaceOne(Request(1)) == nullptr);
   step.filler = true;
   CHECK_TRUE(pool.PlaceOne(Request(1)) != nullptr);
 }
 
-TEST(Placement, FillersAndServingTasksAreKeptApart) {
+TEST(Placement, BestEffortAndLatencySensitiveTasksAreSeparated) {
   Add("i-1", "r1-1", 8);
   Add("i-2", "r1-1", 8);
   StepSpec filler = step;
   filler.filler = true;
   StepSpec serving = step;
   serving.tail_latency_target = Duration(50);
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   PlacementRequest request = Request(1);
   request.step = &filler;
   const Candidate* first = pool.PlaceOne(request);
@@ -195,13 +195,13 @@
   CHECK_TRUE(pool.PlaceOne(request) == first);
 }
 
-TEST(Placement, RunnersAreTakenByHowFarTheyAreTrusted) {
+TEST(Placement, RunnersAreUsedInOrderOfTrust) {
   const std::vector<const char*> ids = {"avoided", "suspect", "slow",
                                         "trusted"};
   for (const char* id : ids) Add(id, "r1-1", 1);
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   pool.candidates()[1].suspect = true;
-  // Runs there take many times as long as expected.
+  // Makes the runner slow.
   for (int i = 0; i < 10; ++i) {
     pool.candidates()[2].runner->RecordPace(10, JobId("a"));
   }
@@ -214,9 +214,9 @@
   }
 }
 
-TEST(Placement, LastAttemptPassesOverARunnerThatMayFailIt) {
+TEST(Placement, LastAttemptSkipsASuspectRunner) {
   Add("suspect", "r1-1", 8);
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   pool.candidates()[0].suspect = true;
   PlacementRequest request = Request(1);
   request.is_last_attempt = true;
@@ -225,9 +225,9 @@
   CHECK_TRUE(pool.PlaceOne(request) != nullptr);
 }
 
-TEST(Placement, RunnerThatFailedARunAtOnceIsTriedWithOne) {
+TEST(Placement, RunnerThatFailedARunImmediatelyGetsOneProbeRun) {
   Add("broken", "r1-1", 8);
-  CandidatePool pool = Seats();
+  CandidatePool pool = Pool();
   pool.candidates()[0].may_fail_immediately = true;
   CHECK_TRUE(pool.PlaceAll(Request(2)).empty());
   CHECK_TRUE(pool.PlaceOne(Request(1)) != nullptr);
--- a/test/planning-policy-test.cc
+++ b/test/planning-policy-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the planner's policies.
+/// Tests of the planning policies.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,7 +13,7 @@
 
 namespace limeledge::dispatch {
 
-// An older step with much time left, and a newer one with little.
+// Compares an older step with much time left to a newer one with little.
 TEST_GROUP(PlanningPolicy) {
   StepRank older;
   StepRank newer;
@@ -27,9 +27,10 @@
     newer.deadline_wall_ms = 5000;
   }
 
-  /// Plays two jobs for one free runner under a policy: a gang that does not
-  /// fit, and a task that does. Returns how often the task started at once.
-  std::size_t StartsBehindAMisfit(const char* policy) {
+  /// Runs two jobs that compete for one free runner under the policy: a gang
+  /// that does not fit, then a single task that does. Returns the number of the
+  /// single task's starts.
+  std::size_t StartsBehindABlockedGang(const char* policy) {
     emulator::SystemOptions options;
     options.runners = 2;
     options.planner.policy = FindPlanningPolicy(policy);
@@ -77,13 +78,13 @@
   CHECK_TRUE(policy.Precedes(older, newer));
 }
 
-TEST(PlanningPolicy, DeadlineOrderPutsHopelessWorkLast) {
+TEST(PlanningPolicy, DeadlineOrderPutsWorthlessWorkLast) {
   newer.deadline_status = DeadlineStatus::kWorthless;
   CHECK_TRUE(DefaultPlanningPolicy().Precedes(older, newer));
 }
 
-// Under load, each late step that goes first makes the next one late, too.
-TEST(PlanningPolicy, DeadlineOrderPutsLateWorkBehindWhatCanBeInTime) {
+// Under load, placing a late step first makes the next one late as well.
+TEST(PlanningPolicy, DeadlineOrderPutsLateWorkBehindOnTimeWork) {
   newer.deadline_status = DeadlineStatus::kLate;
   CHECK_TRUE(DefaultPlanningPolicy().Precedes(older, newer));
 }
@@ -108,13 +109,13 @@
   }
 }
 
-TEST(PlanningPolicy, NothingOvertakesAMisfitUnderFifo) {
-  LONGS_EQUAL(0, StartsBehindAMisfit("fifo"));
+TEST(PlanningPolicy, NothingOvertakesABlockedStepUnderFifo) {
+  LONGS_EQUAL(0, StartsBehindABlockedGang("fifo"));
 }
 
-// On a cluster with three take-overs in a row, room was made for a gang within
-// its guarantee three times, and went to gangs of other workspaces that came
-// later and were due sooner: it began after 3.0 s, its guarantee is 2.9 s.
+// Capacity preempted for a gang within its guarantee went to newer gangs with
+// earlier deadlines three times in a row, so that the gang started after its
+// guarantee had expired.
 TEST(PlanningPolicy, StepWhoseGuaranteeRunsOutGoesBeforeNewerEntitledOnes) {
   const PlanningPolicy& policy = DefaultPlanningPolicy();
   older.within_guarantee = true;
@@ -127,7 +128,7 @@
   CHECK_FALSE(IsPlacedBefore(policy, newer, older));
 }
 
-TEST(PlanningPolicy, EntitledStepsGoBeforeAllOthers) {
+TEST(PlanningPolicy, StepsWithinGuaranteePrecedeAllOthers) {
   older.within_guarantee = true;
   CHECK_TRUE(IsPlacedBefore(DefaultPlanningPolicy(), older, newer));
   CHECK_FALSE(IsPlacedBefore(DefaultPlanningPolicy(), newer, older));
--- a/test/planning-test.cc
+++ b/test/planning-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of which runs begin where, and which make way.
+/// Tests of placement and preemption by the planner in an emulated system.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -10,8 +10,8 @@
 
 TEST_GROUP_BASE(Planning, SchedulerFixture){};
 
-TEST(Planning, UrgentGangWithinItsGuaranteeDisplacesOthers) {
-  // Fills every accelerator of every runner.
+TEST(Planning, UrgentGangWithinItsGuaranteePreemptsOthers) {
+  // Uses every accelerator of every runner.
   Submit(Step(64, 1, Duration(30000)));
   system.Run(Duration(2500));
   dispatch::StepSpec gang = Step(2, 8, Duration(1000));
@@ -22,8 +22,9 @@
   CheckNoViolation();
 }
 
-// What a stopped run leaves for further tasks was taken as free of cost,
-// without the run that leaves it: nothing was stopped, and the room never came.
+// Several tasks can share the capacity of one preempted run. The planner once
+// took the further placements as free of cost without preempting that run, so
+// the capacity never became free.
 TEST(Planning, UrgentTasksThatShareTheRoomOfOneStoppedRunDisplaceIt) {
   dispatch::StepSpec filling = Step(8, 8, Duration(30000));
   filling.gang = true;
@@ -37,14 +38,14 @@
   CheckNoViolation();
 }
 
-// Once its patience was over, a gang was spread over racks, three times as
-// slow, though a whole rack was free a second later.
-TEST(Planning, GangWaitsForARackWhereItIsDoneSooner) {
+// Guards against spreading a gang over racks, which makes it three times as
+// slow, when a whole rack becomes free soon after the locality wait.
+TEST(Planning, GangWaitsForARackWhereItFinishesSooner) {
   SystemOptions options;
   options.planner.urgent_share = 0;
   EmulatedSystem own(options);
   own.Run(Duration(3000));
-  // One runner of each rack stays free.
+  // Leaves one runner of each rack free.
   for (const char* rack : {"r1-0", "r1-1"}) {
     dispatch::StepSpec filling = Step(3, 8, Duration(3000));
     filling.data_rack = rack;
@@ -59,14 +60,14 @@
   LONGS_EQUAL(1, RacksOf(&own, job).size());
 }
 
-// Beside idle runners it would count as forgotten after three seconds.
+// A gang that waits beside idle runners counts as forgotten after 3 s.
 TEST(Planning, GangDoesNotWaitForARackForLongBesideIdleRunners) {
   SystemOptions options;
   options.planner.urgent_share = 0;
   options.runners = 16;
   EmulatedSystem own(options);
   own.Run(Duration(3000));
-  // Three of the four runners of each rack stay free.
+  // Leaves three of the four runners of each rack free.
   for (const char* rack : {"r1-0", "r1-1", "r1-2", "r1-3"}) {
     dispatch::StepSpec filling = Step(1, 8, Duration(4500));
     filling.data_rack = rack;
@@ -83,8 +84,8 @@
   CHECK_TRUE(RacksOf(&own, job).size() > 1);
 }
 
-// Where no rack will ever hold it, it begins anywhere in the end.
-TEST(Planning, GangThatFitsNoRackBeginsAnywhere) {
+// A gang that fits in no rack must be spread after its locality wait.
+TEST(Planning, GangThatFitsNoRackStartsAnywhere) {
   dispatch::StepSpec gang = Step(6, 8, Duration(1000));
   gang.gang = true;
   gang.same_rack = true;
@@ -94,33 +95,34 @@
   CheckNoViolation();
 }
 
-TEST(Planning, StepThatFindsNoRoomSaysEachReasonOnce) {
+TEST(Planning, StepWithoutCapacityLogsEachReasonOnce) {
   Submit(Step(64, 1, Duration(30000)));
   system.Run(Duration(1000));
-  std::vector<std::string> told;
-  system.SetTrace([&told](const std::string& line) {
+  std::vector<std::string> logged;
+  system.SetTrace([&logged](const std::string& line) {
     const std::size_t at = line.find("step_waits");
-    if (at != std::string::npos) told.push_back(line.substr(at));
+    if (at != std::string::npos) logged.push_back(line.substr(at));
   });
   Submit(Step(1, 8, Duration(1000)));
   system.Run(Duration(1000));
-  CHECK_FALSE(told.empty());
-  const std::set<std::string> reasons(told.begin(), told.end());
-  LONGS_EQUAL(reasons.size(), told.size());
+  CHECK_FALSE(logged.empty());
+  const std::set<std::string> reasons(logged.begin(), logged.end());
+  LONGS_EQUAL(reasons.size(), logged.size());
 }
 
-// Patience and a claim alone were longer than the guarantee.
-TEST(Planning, UrgentStartAfterAClaimThatCameToNothingKeepsTheGuarantee) {
+// The locality wait and a reservation that frees nothing, plus the stop of a
+// preempted run, must fit within the guarantee.
+TEST(Planning, UrgentStartAfterAnUnusedReservationMeetsTheGuarantee) {
   const dispatch::PlannerOptions planner;
   const Duration waits =
       planner.urgent_locality_wait + planner.reservation_time;
-  // Longest stop and guarantee of the users' deployments.
+  // The longest stop and the guarantee of two deployments.
   CHECK_TRUE(waits + Duration(900) < Duration(3400));
   CHECK_TRUE(waits + Duration(400) < Duration(2900));
 }
 
-// A run whose guess was too short made its own runner count as slow, and was
-// stopped for it.
+// A run whose estimate was too short made its own runner count as slow and was
+// moved for it.
 TEST(Planning, RunIsNotMovedForNothingButItsOwnPace) {
   for (int i = 0; i < 20; ++i) Submit(Step(1, 1, Duration(1000)));
   system.Run(Duration(5000));
@@ -135,8 +137,9 @@
   LONGS_EQUAL(1, Watch(job).starts.begin()->second);
 }
 
-// Fillers on every runner would keep a serving task out for ever.
-TEST(Planning, FillersMakeWayForAServingTask) {
+// Best-effort tasks on every runner would otherwise keep a latency-sensitive
+// task waiting forever.
+TEST(Planning, BestEffortTasksArePreemptedForALatencySensitiveTask) {
   dispatch::StepSpec filler = Step(16, 1, Duration(60000));
   filler.filler = true;
   filler.saves_progress = true;
@@ -151,7 +154,8 @@
   CheckNoViolation();
 }
 
-// A gang was placed again where it had failed, until its attempts were used up.
+// A gang was placed again on the runner that had failed it until it had no
+// attempts left.
 TEST(Planning, GangIsNotPlacedAgainWhereOneOfItsRunsFailed) {
   for (const char* id : {"i-4-1", "i-5-1"}) {
     system.FindRunner(RunnerId(id))->SetFailing(true);
@@ -165,7 +169,7 @@
   CheckNoViolation();
 }
 
-// What one job found out spares the next one.
+// A failure of one job's run must keep other jobs off the runner.
 TEST(Planning, RunnerThatFailedARunIsUsedLast) {
   system.FindRunner(RunnerId("i-4-1"))->SetFailing(true);
   const JobId first = Submit(Step(1, 1, Duration(300)));
@@ -180,8 +184,9 @@
   CheckNoViolation();
 }
 
-// Runs that had begun before a runner broke ended well and cleared it, and it
-// was rested only after two jobs had failed there: attempts went by in seconds.
+// Runs that had started before the runner broke succeeded and cleared its
+// failure, so the runner kept getting runs until two jobs had failed there. The
+// first quick failure must be enough to stop using it.
 TEST(Planning, RunnerThatBreaksIsRestedAtItsFirstQuickFailure) {
   const JobId before = Submit(Step(2, 1, Duration(3000)));
   system.Run(Duration(500));
@@ -199,8 +204,9 @@
   CheckNoViolation();
 }
 
-// A bound on how many tasks may be away also holds for fillers, ...
-TEST(Planning, FillersWithABoundOnAbsenceMakeNoWay) {
+// The limit on unavailable tasks also protects best-effort tasks from
+// preemption.
+TEST(Planning, BestEffortTasksWithAnUnavailabilityLimitAreNotPreempted) {
   dispatch::StepSpec filler = Step(16, 1, Duration(60000));
   filler.filler = true;
   filler.max_per_runner = 2;
@@ -218,8 +224,9 @@
   CheckNoViolation();
 }
 
-// ... and where a runner's entry is gone though it has not said that it leaves.
-TEST(Planning, TasksWithABoundOnAbsenceStayWhereAnEntryIsGone) {
+// The limit also holds for a runner that is no longer listed but has not
+// announced that it leaves.
+TEST(Planning, TasksWithAnUnavailabilityLimitStayOnAnUnlistedRunner) {
   dispatch::StepSpec step = Step(2, 1, Duration(9000));
   step.saves_progress = true;
   dispatch::StepSpec bound = step;
--- a/test/room-fuzz-test.cc
+++ b/test/room-fuzz-test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Random courses over runners that do not guard their rooms, which shrink and
-/// grow, beside faults, against the oracle of an emulated system.
+/// Fuzz test: random jobs, faults and capacity changes on runners that do not
+/// enforce their capacity. The emulated system checks the invariants.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,24 +18,25 @@
 
 namespace {
 
-/// Courses of one run, unless more are asked for.
+/// Default number of simulations.
 constexpr int kDefaultRunCount = 30;
 
-/// One random course over a system.
-class RoomCourse {
+/// One random simulation of an emulated system.
+class CapacitySimulation {
  public:
-  explicit RoomCourse(int seed)
+  explicit CapacitySimulation(int seed)
       : random_(static_cast<std::uint64_t>(seed)), system_(OptionsFor(seed)) {
     TraceIfRequested(&system_);
   }
 
-  /// Returns what went wrong.
-  std::vector<std::string> Play() {
+  /// Runs the simulation and returns the invariant violations and the jobs that
+  /// did not finish.
+  std::vector<std::string> Run() {
     system_.Run(Duration(3000));
     for (int i = 0; i < kSteps; ++i) {
       Submit();
-      if (OneIn(3)) ChangeRoom(OneIn(3) ? 0 : Pick(1, kCapacityParts));
-      if (OneIn(6)) Fault();
+      if (OneIn(3)) ChangeCapacity(OneIn(3) ? 0 : Pick(1, kCapacityParts));
+      if (OneIn(6)) InjectFault();
       system_.Run(Duration(Pick(100, 700)));
     }
     system_.faults() = Faults();
@@ -43,24 +44,25 @@
       system_.SetRoom(id, system_.room());
     }
     system_.Run(Duration(90000));
-    std::vector<std::string> wrong = system_.violations();
+    std::vector<std::string> failures = system_.violations();
     for (const auto& [id, watch] : system_.jobs()) {
       const std::string state = system_.StateOf(id);
-      if (state != "done") wrong.push_back("job " + id.value() + " " + state);
+      if (state != "done")
+        failures.push_back("job " + id.value() + " " + state);
     }
-    return wrong;
+    return failures;
   }
 
  private:
   static constexpr int kSteps = 60;
-  /// A room shrinks to so many parts of this many.
+  /// A capacity is changed to a random number of these parts.
   static constexpr int kCapacityParts = 4;
 
   static SystemOptions OptionsFor(int seed) {
     SystemOptions options;
     options.seed = static_cast<std::uint64_t>(seed);
     options.enforces_capacity = false;
-    // Few runners, so that many starts wait for their turn at each.
+    // Few runners, so that many starts are queued at each.
     options.runners = 3;
     return options;
   }
@@ -76,7 +78,7 @@
                        : ids[Pick(0, static_cast<int>(ids.size()) - 1)];
   }
 
-  void ChangeRoom(int parts) {
+  void ChangeCapacity(int parts) {
     dispatch::Resources room = system_.room();
     room.cpu_millis = room.cpu_millis * parts / kCapacityParts;
     room.memory_mb = room.memory_mb * parts / kCapacityParts;
@@ -100,7 +102,7 @@
     system_.Submit(spec, {truth});
   }
 
-  void Fault() {
+  void InjectFault() {
     Faults& faults = system_.faults();
     const int leader = std::max(0, system_.leader());
     switch (Pick(0, 9)) {
@@ -120,7 +122,7 @@
       case 4:
       case 8:
       case 9:
-        // A runner may take most of the second after which an order is lost.
+        // An order counts as lost after 1 s; these take most of that time.
         faults.order_time = Duration(OneIn(3) ? 0 : Pick(300, 950));
         break;
       case 5:
@@ -142,18 +144,18 @@
 
 TEST_GROUP(RoomFuzz){};
 
-TEST(RoomFuzz, RoomsThatChangeAreNeverOverfilled) {
-  int broken = 0;
+TEST(RoomFuzz, ChangingCapacitiesAreNeverExceeded) {
+  int failed_seeds = 0;
   for (int i = 0; i < RunCountOr(kDefaultRunCount); ++i) {
     const int seed = FirstSeed() + i;
-    const std::vector<std::string> wrong = RoomCourse(seed).Play();
-    if (wrong.empty()) continue;
-    ++broken;
-    UT_PRINT(("seed " + std::to_string(seed) + ": " + wrong.front() + " (" +
-              std::to_string(wrong.size()) + " in all)")
+    const std::vector<std::string> failures = CapacitySimulation(seed).Run();
+    if (failures.empty()) continue;
+    ++failed_seeds;
+    UT_PRINT(("seed " + std::to_string(seed) + ": " + failures.front() + " (" +
+              std::to_string(failures.size()) + " in all)")
                  .c_str());
   }
-  LONGS_EQUAL(0, broken);
+  LONGS_EQUAL(0, failed_seeds);
 }
 
 }  // namespace limeledge::emulator
--- a/test/room-test.cc
+++ b/test/room-test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Tests of runners whose room shrinks and grows while they run, and that do
-/// not refuse what is too much for them.
+/// Tests of runners whose capacity shrinks and grows and that do not reject
+/// runs beyond it.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,24 +13,24 @@
 
 namespace {
 
-constexpr dispatch::Resources kWhole{64000, 262144, 8};
-constexpr dispatch::Resources kHalf{32000, 131072, 4};
-constexpr dispatch::Resources kNone{0, 0, 0};
+constexpr dispatch::Resources kFullCapacity{64000, 262144, 8};
+constexpr dispatch::Resources kHalfCapacity{32000, 131072, 4};
+constexpr dispatch::Resources kNoCapacity{0, 0, 0};
 
 }  // namespace
 
-class RoomFixture : public SchedulerFixture {
+class CapacityFixture : public SchedulerFixture {
  public:
   SystemOptions options;
   const RunnerId only{"i-0-1"};
 
-  RoomFixture() {
+  CapacityFixture() {
     options.enforces_capacity = false;
     options.runners = 1;
     options.planner.urgent_share = 0;
   }
 
-  static void CheckKept(const EmulatedSystem& other) {
+  static void CheckNoViolationIn(const EmulatedSystem& other) {
     for (const std::string& what : other.violations()) FAIL(what.c_str());
   }
 
@@ -42,39 +42,39 @@
   }
 };
 
-TEST_GROUP_BASE(Room, RoomFixture){};
+TEST_GROUP_BASE(Room, CapacityFixture){};
 
-TEST(Room, NothingIsStartedOverARoomThatShrank) {
+TEST(Room, NothingStartsBeyondAReducedCapacity) {
   EmulatedSystem one(options);
   one.Run(Duration(3000));
   SubmitTo(&one, Step(4, 1, Duration(20000)));
   one.Run(Duration(1000));
-  one.SetRoom(only, kHalf);
+  one.SetRoom(only, kHalfCapacity);
   one.Run(Duration(6000));
   SubmitTo(&one, Step(4, 1, Duration(20000)));
   one.Run(Duration(8000));
   LONGS_EQUAL(4, RunsAt(&one, only));
-  CheckKept(one);
+  CheckNoViolationIn(one);
 }
 
-TEST(Room, RoomThatComesBackIsUsedAtOnce) {
+TEST(Room, RestoredCapacityIsUsedAtOnce) {
   EmulatedSystem one(options);
   one.Run(Duration(3000));
-  one.SetRoom(only, kNone);
+  one.SetRoom(only, kNoCapacity);
   one.Run(Duration(6000));
   SubmitTo(&one, Step(4, 1, Duration(20000)));
   one.Run(Duration(3000));
   LONGS_EQUAL(0, RunsAt(&one, only));
-  one.SetRoom(only, kWhole);
+  one.SetRoom(only, kFullCapacity);
   one.Run(Duration(1200));
   LONGS_EQUAL(4, RunsAt(&one, only));
-  CheckKept(one);
+  CheckNoViolationIn(one);
 }
 
-// Orders to a runner are carried out one after the other, and each without an
-// answer takes a second: a start that was decided before the room shrank left
-// long after it.
-TEST(Room, StartThatWaitsForItsTurnIsHeldAgainstTheRoomThatIsThere) {
+// A runner handles its orders one by one, and each order without an answer
+// takes up to a second. A start that was decided before the capacity shrank
+// could be sent long after.
+TEST(Room, QueuedStartIsCheckedAgainstTheCurrentCapacity) {
   EmulatedSystem one(options);
   one.Run(Duration(3000));
   one.faults().order_time = Duration(900);
@@ -82,12 +82,12 @@
   one.Run(Duration(100));
   one.SetRoom(only, {64000, 262144, 2});
   one.Run(Duration(12000));
-  // In the time before the smaller room counts, some may still begin.
+  // Some runs may start before the smaller capacity takes effect.
   CHECK_TRUE(one.jobs().at(job).starts.size() <= 4);
-  CheckKept(one);
+  CheckNoViolationIn(one);
 }
 
-TEST(Room, GangThatIsPlacedOnLostRoomIsTakenBackWhole) {
+TEST(Room, GangPlacedOnLostCapacityIsWithdrawnAsAWhole) {
   options.runners = 4;
   EmulatedSystem four(options);
   four.Run(Duration(3000));
@@ -96,15 +96,15 @@
   four.faults().order_time = Duration(200);
   const JobId job = SubmitTo(&four, gang);
   four.Run(Duration(10));
-  four.SetRoom(RunnerId("i-2-1"), kHalf);
+  four.SetRoom(RunnerId("i-2-1"), kHalfCapacity);
   four.Run(Duration(6000));
-  four.SetRoom(RunnerId("i-2-1"), kWhole);
+  four.SetRoom(RunnerId("i-2-1"), kFullCapacity);
   four.Run(Duration(12000));
   STRCMP_EQUAL("done", four.StateOf(job).c_str());
-  CheckKept(four);
+  CheckNoViolationIn(four);
 }
 
-TEST(Room, SchedulerThatTakesOverCountsWhatIsThereAgainstTheSmallerRoom) {
+TEST(Room, NewLeaderCountsRunsAgainstTheReducedCapacity) {
   EmulatedSystem one(options);
   one.Run(Duration(3000));
   SubmitTo(&one, Step(4, 1, Duration(30000)));
@@ -114,26 +114,26 @@
   SubmitTo(&one, Step(4, 1, Duration(30000)));
   one.Run(Duration(12000));
   LONGS_EQUAL(5, RunsAt(&one, only));
-  CheckKept(one);
+  CheckNoViolationIn(one);
 }
 
-// Nobody can say how large a room is while the list of runners can not be read.
-TEST(Room, NothingIsStartedOnARoomThatWasNotConfirmedForLong) {
+// Without the list of runners, the scheduler cannot know their capacity.
+TEST(Room, NothingStartsOnAnUnconfirmedCapacity) {
   EmulatedSystem one(options);
   one.Run(Duration(3000));
   one.faults().order_time = Duration(950);
   const JobId job = SubmitTo(&one, Step(8, 1, Duration(60000)));
   one.Run(Duration(300));
   one.faults().store_down = true;
-  one.SetRoom(only, kNone);
+  one.SetRoom(only, kNoCapacity);
   one.Run(Duration(9000));
   CHECK_TRUE(one.jobs().at(job).starts.size() < 6);
-  CheckKept(one);
+  CheckNoViolationIn(one);
 }
 
-// A start without an answer was given up, and carried out after all when others
-// had taken its room.
-TEST(Room, RunThatNobodyWaitsForTakesItsRoom) {
+// A start without an answer was given up but carried out late, after other runs
+// had been placed on its capacity.
+TEST(Room, OrphanedRunHoldsItsCapacity) {
   EmulatedSystem one(options);
   one.Run(Duration(3000));
   one.faults().orders_lost = 1;
@@ -142,7 +142,7 @@
   one.Run(Duration(9000));
   one.faults() = Faults();
   one.Run(Duration(30000));
-  CheckKept(one);
+  CheckNoViolationIn(one);
 }
 
 }  // namespace limeledge::emulator
--- a/test/run-times-test.cc
+++ b/test/run-times-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of learning how long runs take.
+/// Tests of the run time estimates.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -11,41 +11,41 @@
 
 TEST_GROUP(RunTimeEstimator) {
   const QueueId queue{"sweep"};
-  RunTimeEstimator times;
+  RunTimeEstimator estimator;
 };
 
-TEST(RunTimeEstimator, UnknownQueueIsTakenAtItsGuess) {
-  LONGS_EQUAL(1234, times.ExpectedTime(queue, Duration(1234)).ms());
-  CHECK_FALSE(times.UpperBoundFactor(queue).has_value());
+TEST(RunTimeEstimator, UnknownQueueUsesTheCallersEstimate) {
+  LONGS_EQUAL(1234, estimator.ExpectedTime(queue, Duration(1234)).ms());
+  CHECK_FALSE(estimator.UpperBoundFactor(queue).has_value());
 }
 
 TEST(RunTimeEstimator, WildGuessesAreCorrectedByTheQueue) {
-  const int guesses[] = {500, 50000, 2000, 30000, 900, 20000, 700, 40000};
-  for (const int guess : guesses) {
-    times.AddSample(queue, Duration(guess), Duration(8000));
+  const int estimates[] = {500, 50000, 2000, 30000, 900, 20000, 700, 40000};
+  for (const int estimate : estimates) {
+    estimator.AddSample(queue, Duration(estimate), Duration(8000));
   }
-  const Duration expected = times.ExpectedTime(queue, Duration(1000));
+  const Duration expected = estimator.ExpectedTime(queue, Duration(1000));
   CHECK_TRUE(expected > Duration(6000));
   CHECK_TRUE(expected < Duration(10000));
 }
 
-TEST(RunTimeEstimator, GoodGuessesGoBeforeTheQueue) {
+TEST(RunTimeEstimator, AccurateEstimatesOutweighTheQueue) {
   const int lengths[] = {500, 8000, 1000, 20000, 700, 15000, 900, 30000};
   for (int repeat = 0; repeat < 5; ++repeat) {
     for (const int length : lengths) {
-      times.AddSample(queue, Duration(length), Duration(length));
+      estimator.AddSample(queue, Duration(length), Duration(length));
     }
   }
-  const Duration expected = times.ExpectedTime(queue, Duration(1000));
+  const Duration expected = estimator.ExpectedTime(queue, Duration(1000));
   CHECK_TRUE(expected > Duration(800));
   CHECK_TRUE(expected < Duration(1300));
 }
 
-TEST(RunTimeEstimator, FewAlikeRunsAreNotTakenForCertainty) {
+TEST(RunTimeEstimator, FewSimilarRunsDoNotGiveCertainty) {
   for (int i = 0; i < 4; ++i) {
-    times.AddSample(queue, Duration(1000), Duration(1000));
+    estimator.AddSample(queue, Duration(1000), Duration(1000));
   }
-  CHECK_TRUE(*times.UpperBoundFactor(queue) > 1.3);
+  CHECK_TRUE(*estimator.UpperBoundFactor(queue) > 1.3);
 }
 
 }  // namespace limeledge::dispatch
--- a/test/starvation-test.cc
+++ b/test/starvation-test.cc
@@ -1,15 +1,11 @@
 /// @file
-/// Tests of work that waits for long though it could be served.
+/// Tests that low-priority and late work is not starved.
 //
-// Seen: on days of much load, all but a sixth of the least urgent queue's jobs
-// were never done, and on others most gangs of the middle queue were late.
-// How: racks are set apart for urgent work. While all else was taken, up to a
-// third of all accelerators stood idle there, and steps waited for a minute. A
-// gang that had missed the last moment for its objective was no longer let
-// past work of lower priority, and waited behind it to the end.
-// Cause: nothing in the planner's rules grew with the time waited.
-// Proof: the log of idle accelerators, told by whom they were kept for, and the
-// same days played with these rules changed.
+// The planner used to keep racks for urgent work only, however long other work
+// waited. Most jobs of the least urgent queue were never finished while up to
+// a third of all accelerators stood idle in those racks. A gang that had missed
+// its latest start could no longer preempt lower priorities and waited behind
+// them. These tests check that the planner's rules take waiting into account.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -22,17 +18,18 @@
 namespace {
 
 constexpr Duration kLong{60000};
-constexpr int kRunnersInARack = 4;
-constexpr int kRoomOfARunner = 8;
+constexpr int kRunnersPerRack = 4;
+constexpr int kAcceleratorsPerRunner = 8;
 
 }  // namespace
 
-// The first of two racks is set apart for urgent work, the other one is full.
+// One of two racks is reserved for urgent work; the other one is full.
 class StarvationFixture : public SchedulerFixture {
  public:
   void setup() override {
     SchedulerFixture::setup();
-    dispatch::StepSpec filling = Step(kRunnersInARack, kRoomOfARunner, kLong);
+    dispatch::StepSpec filling =
+        Step(kRunnersPerRack, kAcceleratorsPerRunner, kLong);
     filling.data_rack = "r1-1";
     Submit(filling);
     system.Run(Duration(500));
@@ -55,7 +52,7 @@
 
 TEST_GROUP_BASE(Starvation, StarvationFixture){};
 
-TEST(Starvation, StepThatFitsNowhereElseUsesIdleRacksOfUrgentWork) {
+TEST(Starvation, StepThatFitsNowhereElseUsesIdleUrgentRacks) {
   const JobId job = Submit(Step(1, 4, Duration(2000)));
   system.Run(Duration(2500));
   LONGS_EQUAL(1, StartsOf(job));
@@ -68,8 +65,8 @@
   LONGS_EQUAL(8, StartsOf(job));
 }
 
-TEST(Starvation, StepThatRunsOutOfTimeUsesMoreOfTheRacksOfUrgentWork) {
-  // Its objective is missed unless it starts within five seconds.
+TEST(Starvation, StepNearItsDeadlineUsesMoreOfTheUrgentRacks) {
+  // The step meets its objective only if it starts within 5 s.
   const JobId job = Submit(Step(16, 1, Duration(2000)));
   system.Run(Duration(1000));
   LONGS_EQUAL(0, StartsOf(job));
@@ -78,7 +75,7 @@
   CheckNoViolation();
 }
 
-TEST(Starvation, StepThatCanNotMakeWayIsKeptOutOfRacksOfUrgentWork) {
+TEST(Starvation, StepThatCannotBePreemptedStaysOutOfUrgentRacks) {
   dispatch::StepSpec lasting = Step(1, 1, Duration(2000));
   lasting.long_running = true;
   const JobId job = Submit(lasting);
@@ -87,14 +84,15 @@
 }
 
 TEST(Starvation, StepsWithoutAcceleratorsLeaveHeadroomInCores) {
-  // The urgent rack has room for 128 such tasks; a quarter of it may be taken.
+  // The urgent rack has capacity for 128 of these tasks, and three quarters of
+  // its cores must stay idle.
   const JobId job = Submit(Step(300, 0, kLong));
   system.Run(Duration(5000));
   LONGS_EQUAL(32, RunsInUrgentRack(job));
 }
 
-TEST(Starvation, UrgentGangDisplacesWhatRunsInItsRacks) {
-  // Late work takes three quarters of them; one of the four runners is free.
+TEST(Starvation, UrgentGangPreemptsRunsInUrgentRacks) {
+  // Late work fills three of the four urgent runners and leaves one free.
   dispatch::JobSpec spec;
   spec.steps = {Step(24, 1, Duration(2000))};
   spec.policy.priority = 1;
@@ -112,14 +110,14 @@
   CheckNoViolation();
 }
 
-TEST(Starvation, GangThatMissedItsObjectiveDisplacesLowerPriorities) {
+TEST(Starvation, GangThatMissedItsObjectivePreemptsLowerPriorities) {
   SystemOptions options;
-  options.runners = kRunnersInARack;
+  options.runners = kRunnersPerRack;
   options.planner.urgent_share = 0;
   EmulatedSystem own(options);
   own.Run(Duration(3000));
   dispatch::JobSpec spec;
-  spec.steps = {Step(kRunnersInARack, kRoomOfARunner, Duration(4000))};
+  spec.steps = {Step(kRunnersPerRack, kAcceleratorsPerRunner, Duration(4000))};
   spec.steps[0].gang = true;
   spec.policy.priority = 1;
   TaskTruth truth;
@@ -128,7 +126,8 @@
   own.Run(Duration(1000));
   SubmitTo(&own, Step(16, 1, kLong), kAdvisedPriority);
   own.Run(Duration(9500));
-  // Its run is lost when it is late already, and others take its place.
+  // The gang loses a run when it is late already, and lower priorities take the
+  // free capacity.
   const RunnerId lost = own.RunnerIds().front();
   own.KillRunner(lost, Duration(300));
   own.Run(Duration(8000));
