--- a/src/dispatch/planner.h
+++ b/src/dispatch/planner.h
@@ -28,9 +28,10 @@
   /// Orders waiting steps; never null.
   const PlanningPolicy* policy = &DefaultPlanningPolicy();
   /// How long urgent work waits for a place in one rack and near its data
-  /// before any place will do. Together with `reservation_time`, in case
-  /// preemption frees nothing, and the preemption after it, the wait must stay
-  /// below the 2.9 to 3.4 s in which a workspace is guaranteed its capacity.
+  /// before any place will do. The sum of this wait, a reservation for a
+  /// preemption that freed nothing (`reservation_time`) and another stop must
+  /// stay below the 2.9 to 3.4 s in which a workspace is guaranteed its
+  /// capacity.
   Duration urgent_locality_wait{900};
   /// The same for other work. Must stay below the 3 s after which a task that
   /// waits while runners are idle counts as forgotten.
