--- a/test/desk-test.cc
+++ b/test/desk-test.cc
@@ -11,7 +11,7 @@
 namespace limeledge::dispatch {
 
 // A front end with one call, which started while the store was available.
-TEST_GROUP(FrontEnd) {
+TEST_GROUP(Desk) {
   StoreTimeout store_timeout;
   FrontEnd front_end{FrontEndOptions(), &store_timeout};
   Catalog catalog = emulator::MakeCatalog();
@@ -66,14 +66,14 @@
   }
 };
 
-TEST(FrontEnd, SubmitIsRetriedOnceEvenIfTheStoreIsUnavailable) {
+TEST(Desk, SubmitIsRetriedOnceEvenIfTheStoreIsUnavailable) {
   Start(CallKind::kSubmit);
   LoseCommit(false);
   CHECK_TRUE(Last<CommitRows>() != nullptr);
   CHECK_TRUE(Last<RespondToCall>() == nullptr);
 }
 
-TEST(FrontEnd, SubmitIsRetriedAgainWhileTheStoreIsAvailable) {
+TEST(Desk, SubmitIsRetriedAgainWhileTheStoreIsAvailable) {
   Start(CallKind::kSubmit);
   LoseCommit(true);
   LoseCommit(true);
@@ -82,7 +82,7 @@
 
 // Callers must not be held until their deadline during an outage: they would
 // have no time left to retry, and lose the call.
-TEST(FrontEnd, SubmitThatIsLostTwiceWhileTheStoreIsAwayIsAnsweredAtOnce) {
+TEST(Desk, SubmitThatIsLostTwiceWhileTheStoreIsAwayIsAnsweredAtOnce) {
   Start(CallKind::kSubmit);
   LoseCommit(false);
   LoseCommit(false);
@@ -93,7 +93,7 @@
   CHECK_TRUE(front_end.idle());
 }
 
-TEST(FrontEnd, RetryAfterIsZeroIfOnlyThisNodeLostTheStore) {
+TEST(Desk, RetryAfterIsZeroIfOnlyThisNodeLostTheStore) {
   front_end.SetStoreOutage(StoreOutage::kLocal);
   Start(CallKind::kSubmit, false);
   CHECK_TRUE(Last<RespondToCall>()->result == CallResult::kNotAccepted);
@@ -104,7 +104,7 @@
               Last<RespondToCall>()->retry_after.value().ms());
 }
 
-TEST(FrontEnd, QueryFailsAfterTwoAttemptsWhileTheStoreIsUnavailable) {
+TEST(Desk, QueryFailsAfterTwoAttemptsWhileTheStoreIsUnavailable) {
   Start(CallKind::kQuery);
   LoseRead(false);
   LoseRead(false);
--- a/test/run-times-test.cc
+++ b/test/run-times-test.cc
@@ -9,17 +9,17 @@
 
 namespace limeledge::dispatch {
 
-TEST_GROUP(RunTimeEstimator) {
+TEST_GROUP(RunTimes) {
   const QueueId queue{"sweep"};
   RunTimeEstimator estimator;
 };
 
-TEST(RunTimeEstimator, UnknownQueueUsesTheCallersEstimate) {
+TEST(RunTimes, UnknownQueueUsesTheCallersEstimate) {
   LONGS_EQUAL(1234, estimator.ExpectedTime(queue, Duration(1234)).ms());
   CHECK_FALSE(estimator.UpperBoundFactor(queue).has_value());
 }
 
-TEST(RunTimeEstimator, WildGuessesAreCorrectedByTheQueue) {
+TEST(RunTimes, WildGuessesAreCorrectedByTheQueue) {
   const int estimates[] = {500, 50000, 2000, 30000, 900, 20000, 700, 40000};
   for (const int estimate : estimates) {
     estimator.AddSample(queue, Duration(estimate), Duration(8000));
@@ -29,7 +29,7 @@
   CHECK_TRUE(expected < Duration(10000));
 }
 
-TEST(RunTimeEstimator, AccurateEstimatesOutweighTheQueue) {
+TEST(RunTimes, AccurateEstimatesOutweighTheQueue) {
   const int lengths[] = {500, 8000, 1000, 20000, 700, 15000, 900, 30000};
   for (int repeat = 0; repeat < 5; ++repeat) {
     for (const int length : lengths) {
@@ -41,7 +41,7 @@
   CHECK_TRUE(expected < Duration(1300));
 }
 
-TEST(RunTimeEstimator, FewSimilarRunsDoNotGiveCertainty) {
+TEST(RunTimes, FewSimilarRunsDoNotGiveCertainty) {
   for (int i = 0; i < 4; ++i) {
     estimator.AddSample(queue, Duration(1000), Duration(1000));
   }
