--- a/src/dispatch/front_end.cc
+++ b/src/dispatch/front_end.cc
@@ -114,10 +114,9 @@
     Respond(ctx, call, CallResult::kNotAccepted,
             "the configuration may be old");
   } else if (queue == nullptr) {
-    Respond(ctx, call, CallResult::kUnknownQueue,
-            "no queue matches this host and path");
+    Respond(ctx, call, CallResult::kUnknownQueue, "no such queue");
   } else {
-    Respond(ctx, call, CallResult::kUnknownKey, "unknown API key");
+    Respond(ctx, call, CallResult::kUnknownKey, "the key is not known");
   }
   return nullptr;
 }
@@ -137,9 +136,7 @@
   const JobId id(call.path.substr(queue->path_prefix.size()));
   const bool counts = call.kind == CallKind::kQuery && id.empty();
   if (call.kind == CallKind::kOther || (!counts && !IsJobId(id.value()))) {
-    Respond(ctx, call, CallResult::kInvalid,
-            "unsupported method, or the path does not end in a job id of 16 "
-            "lowercase hexadecimal digits");
+    Respond(ctx, call, CallResult::kInvalid, "not a call on a job");
     return;
   }
   if (!store_answers) {
@@ -276,9 +273,8 @@
   Respond(
       ctx, pending.call,
       pending.may_be_applied ? CallResult::kUnknown : CallResult::kNotAccepted,
-      pending.may_be_applied
-          ? "no response from the store; the call may have been accepted"
-          : "the store took nothing");
+      pending.may_be_applied ? "the store's answer was lost"
+                             : "the store took nothing");
 }
 
 void FrontEnd::Accept(Context& ctx, const Pending& pending,
@@ -294,15 +290,15 @@
   for (const Row& row : answer.rows) {
     if (row.key.key != pending.job.value()) continue;
     if (SameJob(row.value, pending.encoded_spec)) {
-      Accept(ctx, pending, "the job was submitted before");
+      Accept(ctx, pending, "known already");
     } else {
       Respond(ctx, pending.call, CallResult::kConflict,
-              "the id belongs to another job");
+              "another job has this id");
     }
     return;
   }
   Respond(ctx, pending.call, CallResult::kUnknown,
-          "the store reported a conflict without the job's row");
+          "the job's row is unreadable");
 }
 
 void FrontEnd::Handle(Context& ctx, const ReadCompleted& answer,
@@ -342,8 +338,7 @@
   const absl::StatusOr<JobState> state =
       DecodeProgressState(answer.rows.front().value);
   if (!state.ok()) {
-    Respond(ctx, pending.call, CallResult::kNotAccepted,
-            "cannot decode the job's progress");
+    Respond(ctx, pending.call, CallResult::kNotAccepted, "unreadable progress");
     return;
   }
   Respond(ctx, pending.call, CallResult::kDone, "", ToString(*state));
@@ -362,8 +357,7 @@
     return;
   }
   if (cancelled) {
-    Respond(ctx, pending.call, CallResult::kDone,
-            "the job was cancelled before");
+    Respond(ctx, pending.call, CallResult::kDone, "cancelled already");
     return;
   }
   pending.stage = Stage::kCancel;
@@ -383,8 +377,7 @@
     const absl::StatusOr<WaitingCounts> counts =
         DecodeWaiting(answer.rows.front().value);
     if (!counts.ok()) {
-      Respond(ctx, pending.call, CallResult::kNotAccepted,
-              "cannot decode the numbers of waiting jobs");
+      Respond(ctx, pending.call, CallResult::kNotAccepted, "unreadable counts");
       return;
     }
     const auto found = counts->find(pending.queue);
