--- a/src/dispatch/scheduler_losses.cc
+++ b/src/dispatch/scheduler_losses.cc
@@ -44,7 +44,7 @@
     case IncarnationFate::kCrashed:
       return "no";
     case IncarnationFate::kPresumedCrashed:
-      return "never heard from";
+      return "never heard of";
   }
   return "";
 }
