--- a/src/dispatch/planner.cc
+++ b/src/dispatch/planner.cc
@@ -16,17 +16,17 @@
 const char* ToString(WaitReason reason) {
   switch (reason) {
     case WaitReason::kBlockedByEarlierStep:
-      return "blocked by an earlier step that does not fit";
+      return "others that do not fit go first";
     case WaitReason::kNoTickets:
       return "no runner has a ticket for the step";
     case WaitReason::kNoCapacity:
-      return "no free capacity";
+      return "no room";
     case WaitReason::kNotEnoughPreemptible:
-      return "no free capacity, and not enough can be preempted";
+      return "no room, and not enough may make way";
     case WaitReason::kPreempting:
       return "others make way";
     case WaitReason::kReserved:
-      return "capacity is reserved for the gang";
+      return "runners are kept free for the gang";
   }
   return "";
 }
