--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -314,7 +314,7 @@
     const std::lock_guard<std::mutex> shed(shed_.mutex);
     rooms_.NoteChange(place.server->id(), place.server->room(), clock_.Now());
   }
-  place.server->SetRoom(room);
+  place.server->SetCapacity(room);
   store_.Put("servers", place.server->id().value(), place.server->Entry());
 }
 
