--- a/src/cli/accelerator_use.cc
+++ b/src/cli/accelerator_use.cc
@@ -21,20 +21,20 @@
   std::int64_t to_ms = 0;
 };
 
-Room operator*(const Room& room, double factor) {
+ResourceAmount operator*(const ResourceAmount& room, double factor) {
   return {room.accelerators * factor, room.cores * factor};
 }
 
-Room operator+(const Room& a, const Room& b) {
+ResourceAmount operator+(const ResourceAmount& a, const ResourceAmount& b) {
   return {a.accelerators + b.accelerators, a.cores + b.cores};
 }
 
-Room RoomOf(const LoggedRun& run) {
+ResourceAmount RoomOf(const LoggedRun& run) {
   return {static_cast<double>(run.accelerators),
           static_cast<double>(run.cpu_millis) / kMillisPerCore};
 }
 
-Room MostOf(const Room& a, const Room& b) {
+ResourceAmount MostOf(const ResourceAmount& a, const ResourceAmount& b) {
   return {std::max(a.accelerators, b.accelerators), std::max(a.cores, b.cores)};
 }
 
@@ -79,11 +79,11 @@
     Change(run.runner, span.to_ms, RoomOf(run) * -1);
   }
 
-  Room PeakOf(const std::string& runner) const {
+  ResourceAmount PeakOf(const std::string& runner) const {
     const auto found = changes_.find(runner);
     if (found == changes_.end()) return {};
-    Room held;
-    Room peak;
+    ResourceAmount held;
+    ResourceAmount peak;
     for (const auto& [at_ms, change] : found->second) {
       held = held + change;
       peak = MostOf(peak, held);
@@ -92,13 +92,14 @@
   }
 
  private:
-  void Change(const std::string& runner, std::int64_t at_ms, const Room& by) {
-    Room& change = changes_[runner][at_ms];
+  void Change(const std::string& runner, std::int64_t at_ms,
+              const ResourceAmount& by) {
+    ResourceAmount& change = changes_[runner][at_ms];
     change = change + by;
   }
 
   /// Room taken less what was given back, by runner and moment.
-  std::map<std::string, std::map<std::int64_t, Room>> changes_;
+  std::map<std::string, std::map<std::int64_t, ResourceAmount>> changes_;
 };
 
 /// The slots, with what is added to them.
@@ -111,16 +112,16 @@
     }
   }
 
-  void AddRun(const std::string& queue, const Room& room, Span span) {
-    Spread(room, span, [&queue](const Room& mean, UseSlot* slot) {
+  void AddRun(const std::string& queue, const ResourceAmount& room, Span span) {
+    Spread(room, span, [&queue](const ResourceAmount& mean, UseSlot* slot) {
       slot->used_by_queue[queue] += mean.accelerators;
       slot->used = slot->used + mean;
       slot->idle_at_least = slot->idle_at_least + mean * -1;
     });
   }
 
-  void AddRunner(const Room& room, Span span) {
-    Spread(room, span, [](const Room& mean, UseSlot* slot) {
+  void AddRunner(const ResourceAmount& room, Span span) {
+    Spread(room, span, [](const ResourceAmount& mean, UseSlot* slot) {
       slot->idle_at_least = slot->idle_at_least + mean;
     });
   }
@@ -136,7 +137,7 @@
   std::vector<UseSlot> Finish() {
     for (UseSlot& slot : slots_) {
       // Runs on runners that are about to leave hold more than counts as room.
-      slot.idle_at_least = MostOf(slot.idle_at_least, Room());
+      slot.idle_at_least = MostOf(slot.idle_at_least, ResourceAmount());
     }
     return std::move(slots_);
   }
@@ -149,7 +150,7 @@
 
   /// Calls `add` with the mean over each slot that the span touches.
   template <typename Adder>
-  void Spread(const Room& room, Span span, const Adder& add) {
+  void Spread(const ResourceAmount& room, Span span, const Adder& add) {
     for (UseSlot& slot : slots_) {
       const std::int64_t begin_ms = whole_.from_ms + slot.begin.ms();
       const std::int64_t end_ms = std::min(begin_ms + slot_.ms(), whole_.to_ms);
--- a/src/cli/accelerator_use.h
+++ b/src/cli/accelerator_use.h
@@ -22,7 +22,7 @@
 inline constexpr Duration kDefaultSlot = Duration(2000);
 
 /// Means over a time.
-struct Room {
+struct ResourceAmount {
   double accelerators = 0;
   double cores = 0;
 };
@@ -33,12 +33,12 @@
   Duration begin;
   /// Accelerators.
   std::map<std::string, double> used_by_queue;
-  Room used;
+  ResourceAmount used;
   /// At least so much was free on runners that could be used: a runner counts
   /// with the most that its runs ever held at once, since logs do not tell its
   /// size. Accelerators that are free on a runner without free cores serve
   /// nobody.
-  Room idle_at_least;
+  ResourceAmount idle_at_least;
   /// At the slot's beginning.
   std::map<std::string, int> open_jobs;
 };
--- a/src/cli/starvation_tables.cc
+++ b/src/cli/starvation_tables.cc
@@ -27,7 +27,7 @@
   return json;
 }
 
-Json::Value ToJson(const Room& room) {
+Json::Value ToJson(const ResourceAmount& room) {
   Json::Value json;
   json["accelerators"] = room.accelerators;
   json["cores"] = room.cores;
