--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -24,7 +24,7 @@
   json["id"] = entry.number;
   json["event"] = entry.event;
   json["instance"] = entry.instance;
-  json["text"] = InWords(entry);
+  json["text"] = Describe(entry);
   for (const auto& [name, value] : entry.fields) json["fields"][name] = value;
   return json;
 }
@@ -41,7 +41,7 @@
   const std::int64_t begin = lines.front().wall_ms;
   for (const LogEntry& line : lines) {
     fmt::print("{:>9} ms  {:<20} {}  {}\n", line.wall_ms - begin, line.instance,
-               line.number, InWords(line));
+               line.number, Describe(line));
   }
   fmt::print("\n{}\n", SumUp(lines));
 }
--- a/src/cli/log_story.cc
+++ b/src/cli/log_story.cc
@@ -205,7 +205,7 @@
   return text;
 }
 
-std::string InWords(const JobSummary& job) {
+std::string Describe(const JobSummary& job) {
   std::string text = absl::StrCat("The job is ", job.state, TimesInWords(job));
   if (job.refusals > 0) {
     absl::StrAppend(&text, "; ", job.refusals, " submits were not taken");
@@ -295,7 +295,7 @@
   return false;
 }
 
-std::string InWords(const LogEntry& entry) {
+std::string Describe(const LogEntry& entry) {
   for (const Wording& wording : kWordings) {
     if (entry.event == wording.event) return FillIn(wording.text, entry);
   }
@@ -305,7 +305,7 @@
 std::string SumUp(const std::vector<LogEntry>& lines) {
   JobSummary job;
   for (const LogEntry& line : lines) AddLine(line, &job);
-  return InWords(job);
+  return Describe(job);
 }
 
 }  // namespace limeledge
--- a/src/cli/log_story.h
+++ b/src/cli/log_story.h
@@ -55,7 +55,7 @@
 bool Names(const LogEntry& entry, const std::string& id);
 
 /// The line in words. Safe from any thread.
-std::string InWords(const LogEntry& entry);
+std::string Describe(const LogEntry& entry);
 
 /// What the lines of a job come to, in a sentence: its state, and what held it
 /// up. Safe from any thread.
--- a/test/log-story-test.cc
+++ b/test/log-story-test.cc
@@ -61,14 +61,14 @@
 
 TEST(MergedLog, LineIsToldInWords) {
   STRCMP_EQUAL("run 1 of 00000000000000a1.0.0.0 on runner i-1 ended: lapsed",
-               InWords(story.LinesOf(job)[2]).c_str());
+               Describe(story.LinesOf(job)[2]).c_str());
 }
 
 TEST(MergedLog, EventWithoutWordsIsListedWithItsFields) {
   LogEntry entry;
   entry.event = "new_event";
   entry.fields["a"] = "b";
-  STRCMP_EQUAL("new_event a=b", InWords(entry).c_str());
+  STRCMP_EQUAL("new_event a=b", Describe(entry).c_str());
 }
 
 TEST(MergedLog, SummaryTellsStateWaitAndEnds) {
