--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -31,7 +31,7 @@
 
 void PrintAsJson(const std::vector<LogEntry>& lines) {
   Json::Value json;
-  json["summary"] = SumUp(lines);
+  json["summary"] = Summarize(lines);
   json["lines"] = Json::Value(Json::arrayValue);
   for (const LogEntry& line : lines) json["lines"].append(ToJson(line));
   fmt::print("{}\n", WriteJson(json));
@@ -43,7 +43,7 @@
     fmt::print("{:>9} ms  {:<20} {}  {}\n", line.wall_ms - begin, line.instance,
                line.number, Describe(line));
   }
-  fmt::print("\n{}\n", SumUp(lines));
+  fmt::print("\n{}\n", Summarize(lines));
 }
 
 int Explain(const Target& target, const cxxopts::ParseResult& args,
--- a/src/cli/log_story.cc
+++ b/src/cli/log_story.cc
@@ -302,7 +302,7 @@
   return ListFields(entry);
 }
 
-std::string SumUp(const std::vector<LogEntry>& lines) {
+std::string Summarize(const std::vector<LogEntry>& lines) {
   JobSummary job;
   for (const LogEntry& line : lines) AddLine(line, &job);
   return Describe(job);
--- a/src/cli/log_story.h
+++ b/src/cli/log_story.h
@@ -59,7 +59,7 @@
 
 /// What the lines of a job come to, in a sentence: its state, and what held it
 /// up. Safe from any thread.
-std::string SumUp(const std::vector<LogEntry>& lines);
+std::string Summarize(const std::vector<LogEntry>& lines);
 
 }  // namespace limeledge
 
--- a/test/log-story-test.cc
+++ b/test/log-story-test.cc
@@ -75,7 +75,7 @@
   STRCMP_EQUAL(
       "The job is done; it waited 100 ms for its first run and took 400 ms in "
       "all; 1 runs lapsed.",
-      SumUp(story.LinesOf(job)).c_str());
+      Summarize(story.LinesOf(job)).c_str());
 }
 
 TEST(MergedLog, SummaryTellsWhyATaskWasGivenUp) {
@@ -83,7 +83,7 @@
       "{\"wall_ms\":1350,\"level\":\"warning\",\"id\":\"LL935\",\"event\":"
       "\"task_given_up\",\"instance\":\"e2\",\"job\":\"00000000000000a1\","
       "\"task\":\"00000000000000a1.0.0.0\",\"runs\":\"1@i-1 2@i-2\"}\n");
-  const std::string text = SumUp(story.LinesOf(job));
+  const std::string text = Summarize(story.LinesOf(job));
   CHECK_TRUE(text.find("00000000000000a1.0.0.0 was given up") !=
              std::string::npos);
   CHECK_TRUE(text.find("1@i-1 2@i-2") != std::string::npos);
