--- a/src/cli/log_story.cc
+++ b/src/cli/log_story.cc
@@ -259,7 +259,7 @@
   std::vector<LogEntry> lines = Lines();
   lines.erase(
       std::remove_if(lines.begin(), lines.end(),
-                     [&id](const LogEntry& e) { return !Names(e, id); }),
+                     [&id](const LogEntry& e) { return !Mentions(e, id); }),
       lines.end());
   return lines;
 }
@@ -275,7 +275,7 @@
                         entry.wall_ms <= own.back().wall_ms;
     if (!within) continue;
     const std::string& runner = entry.Field("runner");
-    if (Names(entry, id)) {
+    if (Mentions(entry, id)) {
       if (entry.event == "run_assigned") ++runners[runner];
       if (entry.event == "run_ended") --runners[runner];
       lines.push_back(entry);
@@ -287,7 +287,7 @@
   return lines;
 }
 
-bool Names(const LogEntry& entry, const std::string& id) {
+bool Mentions(const LogEntry& entry, const std::string& id) {
   for (const auto& [name, value] : entry.fields) {
     if (value == id || absl::StartsWith(value, id + ".")) return true;
     if (name == "path" && absl::EndsWith(value, "/" + id)) return true;
--- a/src/cli/log_story.h
+++ b/src/cli/log_story.h
@@ -52,7 +52,7 @@
 };
 
 /// True if the line names the job or request. Safe from any thread.
-bool Names(const LogEntry& entry, const std::string& id);
+bool Mentions(const LogEntry& entry, const std::string& id);
 
 /// The line in words. Safe from any thread.
 std::string Describe(const LogEntry& entry);
