--- a/src/cli/report_command.cc
+++ b/src/cli/report_command.cc
@@ -129,7 +129,7 @@
               : kPercent * Seconds(total.length) / Seconds(group.length);
       fmt::print("  {:>9.1f} {:>5.1f}% {:>5}  {:<50} {}\n",
                  Seconds(total.length), share, total.jobs, cause,
-                 Names(total.dearest));
+                 JoinJobs(total.dearest));
     }
   }
 }
@@ -141,7 +141,7 @@
   for (const auto& [fate, total] : waste) {
     fmt::print("  {:>5} {:>6} {:>12.0f} {:>10.0f}  {:<32} {}\n", total.runs,
                total.saved, total.accelerator_seconds, total.core_seconds,
-               ToString(fate), Names(total.dearest));
+               ToString(fate), JoinJobs(total.dearest));
     for (const auto& [queue, runs] : total.runs_by_queue) {
       fmt::print("  {:>5}        of {}\n", runs, queue);
     }
@@ -169,7 +169,7 @@
              "MAIN CAUSE", "MOST FOR");
   for (const SecondTotal& total : seconds) {
     fmt::print("  {:>6} {:>5} {:>8.1f}  {:<50} {}\n", total.second, total.jobs,
-               Seconds(total.lost), total.main_cause, Names(total.dearest));
+               Seconds(total.lost), total.main_cause, JoinJobs(total.dearest));
   }
 }
 
--- a/src/cli/report_values.cc
+++ b/src/cli/report_values.cc
@@ -20,7 +20,7 @@
   return static_cast<double>(length.ms()) / kMillisPerSecond;
 }
 
-std::string Names(const Dearest& dearest) {
+std::string JoinJobs(const Dearest& dearest) {
   return absl::StrJoin(dearest.jobs(), " ");
 }
 
--- a/src/cli/report_values.h
+++ b/src/cli/report_values.h
@@ -19,7 +19,7 @@
 double Seconds(Duration length);
 
 /// The jobs, with blanks between them. Safe from any thread.
-std::string Names(const Dearest& dearest);
+std::string JoinJobs(const Dearest& dearest);
 
 /// The jobs as an array. Safe from any thread.
 Json::Value ToJson(const Dearest& dearest);
--- a/src/cli/starvation_tables.cc
+++ b/src/cli/starvation_tables.cc
@@ -85,7 +85,7 @@
   const DisplacedCounts& displaced = band.displaced;
   fmt::print("  {:<10} {:>5} {:>6}  {:>5} {:>4} {:>5} {:>8}  {}\n", name,
              band.jobs, band.tasks_not_done, displaced[0], displaced[1],
-             displaced[2], displaced[3], Names(band.worst));
+             displaced[2], displaced[3], JoinJobs(band.worst));
   for (const auto& [cause, length] : MainCauses(band)) {
     fmt::print("  {:>22.1f} s  {}\n", Seconds(length), cause);
   }
