--- a/src/cli/dearest.cc
+++ b/src/cli/dearest.cc
@@ -10,7 +10,7 @@
 
 namespace limeledge {
 
-void Dearest::Add(double cost, const std::string& job) {
+void TopJobs::Add(double cost, const std::string& job) {
   jobs_.emplace_back(cost, job);
   std::stable_sort(
       jobs_.begin(), jobs_.end(),
@@ -18,7 +18,7 @@
   if (jobs_.size() > most_) jobs_.pop_back();
 }
 
-std::vector<std::string> Dearest::jobs() const {
+std::vector<std::string> TopJobs::jobs() const {
   std::vector<std::string> names;
   for (const auto& [cost, job] : jobs_) {
     const bool named =
--- a/src/cli/dearest.h
+++ b/src/cli/dearest.h
@@ -17,9 +17,9 @@
 /// Jobs that something cost most, the dearest first.
 ///
 /// Thread safety: none; use it from one thread.
-class Dearest {
+class TopJobs {
  public:
-  explicit Dearest(std::size_t most = 3) : most_(most) {}
+  explicit TopJobs(std::size_t most = 3) : most_(most) {}
 
   /// Notes what it cost a job, in any unit.
   void Add(double cost, const std::string& job);
--- a/src/cli/open_jobs.h
+++ b/src/cli/open_jobs.h
@@ -39,7 +39,7 @@
   std::map<std::string, Duration> causes;
   DisplacedCounts displaced = {};
   /// By their time beyond work.
-  Dearest worst;
+  TopJobs worst;
 };
 
 /// All jobs of one queue, without those that were cancelled.
--- a/src/cli/report_values.cc
+++ b/src/cli/report_values.cc
@@ -20,11 +20,11 @@
   return static_cast<double>(length.ms()) / kMillisPerSecond;
 }
 
-std::string JoinJobs(const Dearest& dearest) {
+std::string JoinJobs(const TopJobs& dearest) {
   return absl::StrJoin(dearest.jobs(), " ");
 }
 
-Json::Value ToJson(const Dearest& dearest) {
+Json::Value ToJson(const TopJobs& dearest) {
   Json::Value json(Json::arrayValue);
   for (const std::string& job : dearest.jobs()) json.append(job);
   return json;
--- a/src/cli/report_values.h
+++ b/src/cli/report_values.h
@@ -19,10 +19,10 @@
 double Seconds(Duration length);
 
 /// The jobs, with blanks between them. Safe from any thread.
-std::string JoinJobs(const Dearest& dearest);
+std::string JoinJobs(const TopJobs& dearest);
 
 /// The jobs as an array. Safe from any thread.
-Json::Value ToJson(const Dearest& dearest);
+Json::Value ToJson(const TopJobs& dearest);
 
 }  // namespace limeledge
 
