--- a/soak/soak_platform.h
+++ b/soak/soak_platform.h
@@ -15,8 +15,8 @@
 #include <thread>
 #include <vector>
 
+#include "emulator/capacity_history.h"
 #include "emulator/promise_oracle.h"
-#include "emulator/room_watch.h"
 #include "platform/standin/runner_server.h"
 #include "platform/standin/store_server.h"
 #include "soak/cancel_watch.h"
--- a/src/emulator/room_watch.h
+++ b/src/emulator/capacity_history.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_EMULATOR_ROOM_WATCH_H_
-#define LIMELEDGE_SRC_EMULATOR_ROOM_WATCH_H_
+#ifndef LIMELEDGE_SRC_EMULATOR_CAPACITY_HISTORY_H_
+#define LIMELEDGE_SRC_EMULATOR_CAPACITY_HISTORY_H_
 
 #include <algorithm>
 #include <map>
@@ -50,4 +50,4 @@
 
 }  // namespace limeledge::emulator
 
-#endif  // LIMELEDGE_SRC_EMULATOR_ROOM_WATCH_H_
+#endif  // LIMELEDGE_SRC_EMULATOR_CAPACITY_HISTORY_H_
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -20,11 +20,11 @@
 #include <vector>
 
 #include "dispatch/node.h"
+#include "emulator/capacity_history.h"
 #include "emulator/emulated_catalog.h"
 #include "emulator/emulated_runner.h"
 #include "emulator/emulated_store.h"
 #include "emulator/promise_oracle.h"
-#include "emulator/room_watch.h"
 
 namespace limeledge::emulator {
 
