--- a/src/cli/report_command.cc
+++ b/src/cli/report_command.cc
@@ -43,7 +43,7 @@
       Json::Value& row = entry["causes"][cause];
       row["seconds"] = Seconds(total.length);
       row["jobs"] = total.jobs;
-      row["most"] = limeledge::ToJson(total.dearest);
+      row["most"] = limeledge::ToJson(total.top_jobs);
     }
   }
   return json;
@@ -60,7 +60,7 @@
     for (const auto& [queue, runs] : total.runs_by_queue) {
       row["runs_by_queue"][queue] = runs;
     }
-    row["most"] = limeledge::ToJson(total.dearest);
+    row["most"] = limeledge::ToJson(total.top_jobs);
   }
   return json;
 }
@@ -87,7 +87,7 @@
     row["jobs"] = total.jobs;
     row["lost_seconds"] = Seconds(total.lost);
     row["main_cause"] = total.main_cause;
-    row["most"] = limeledge::ToJson(total.dearest);
+    row["most"] = limeledge::ToJson(total.top_jobs);
     json.append(std::move(row));
   }
   return json;
@@ -129,7 +129,7 @@
               : kPercent * Seconds(total.length) / Seconds(group.length);
       fmt::print("  {:>9.1f} {:>5.1f}% {:>5}  {:<50} {}\n",
                  Seconds(total.length), share, total.jobs, cause,
-                 JoinJobs(total.dearest));
+                 JoinJobs(total.top_jobs));
     }
   }
 }
@@ -141,7 +141,7 @@
   for (const auto& [fate, total] : waste) {
     fmt::print("  {:>5} {:>6} {:>12.0f} {:>10.0f}  {:<32} {}\n", total.runs,
                total.saved, total.accelerator_seconds, total.core_seconds,
-               ToString(fate), JoinJobs(total.dearest));
+               ToString(fate), JoinJobs(total.top_jobs));
     for (const auto& [queue, runs] : total.runs_by_queue) {
       fmt::print("  {:>5}        of {}\n", runs, queue);
     }
@@ -169,7 +169,7 @@
              "MAIN CAUSE", "MOST FOR");
   for (const SecondTotal& total : seconds) {
     fmt::print("  {:>6} {:>5} {:>8.1f}  {:<50} {}\n", total.second, total.jobs,
-               Seconds(total.lost), total.main_cause, JoinJobs(total.dearest));
+               Seconds(total.lost), total.main_cause, JoinJobs(total.top_jobs));
   }
 }
 
--- a/src/cli/report_values.cc
+++ b/src/cli/report_values.cc
@@ -20,13 +20,13 @@
   return static_cast<double>(length.ms()) / kMillisPerSecond;
 }
 
-std::string JoinJobs(const TopJobs& dearest) {
-  return absl::StrJoin(dearest.jobs(), " ");
+std::string JoinJobs(const TopJobs& top_jobs) {
+  return absl::StrJoin(top_jobs.jobs(), " ");
 }
 
-Json::Value ToJson(const TopJobs& dearest) {
+Json::Value ToJson(const TopJobs& top_jobs) {
   Json::Value json(Json::arrayValue);
-  for (const std::string& job : dearest.jobs()) json.append(job);
+  for (const std::string& job : top_jobs.jobs()) json.append(job);
   return json;
 }
 
--- a/src/cli/report_values.h
+++ b/src/cli/report_values.h
@@ -19,10 +19,10 @@
 double Seconds(Duration length);
 
 /// The jobs, with blanks between them. Safe from any thread.
-std::string JoinJobs(const TopJobs& dearest);
+std::string JoinJobs(const TopJobs& top_jobs);
 
 /// The jobs as an array. Safe from any thread.
-Json::Value ToJson(const TopJobs& dearest);
+Json::Value ToJson(const TopJobs& top_jobs);
 
 }  // namespace limeledge
 
--- a/src/cli/work_report.cc
+++ b/src/cli/work_report.cc
@@ -32,7 +32,7 @@
     CauseTotal& total = group->causes[cause];
     total.length = total.length + length;
     ++total.jobs;
-    total.dearest.Add(static_cast<double>(length.ms()), job.id);
+    total.top_jobs.Add(static_cast<double>(length.ms()), job.id);
   }
 }
 
@@ -54,7 +54,7 @@
     sum = sum + length;
   }
   second->total.lost = second->total.lost + lost;
-  second->total.dearest.Add(static_cast<double>(lost.ms()), job.id);
+  second->total.top_jobs.Add(static_cast<double>(lost.ms()), job.id);
 }
 
 std::string MainCause(const std::map<std::string, Duration>& causes) {
@@ -103,7 +103,7 @@
   }
   total.accelerator_seconds += AcceleratorSeconds(run);
   total.core_seconds += CoreSeconds(run);
-  total.dearest.Add(AcceleratorSeconds(run), job.id);
+  total.top_jobs.Add(AcceleratorSeconds(run), job.id);
 }
 
 /// The first start of the job at or after a moment; null if there is none.
--- a/src/cli/work_report.h
+++ b/src/cli/work_report.h
@@ -23,7 +23,7 @@
 struct CauseTotal {
   Duration length;
   int jobs = 0;
-  TopJobs dearest;
+  TopJobs top_jobs;
 };
 
 /// Settled jobs of one queue or workspace.
@@ -41,7 +41,7 @@
   double accelerator_seconds = 0;
   double core_seconds = 0;
   std::map<std::string, int> runs_by_queue;
-  TopJobs dearest;
+  TopJobs top_jobs;
 };
 
 /// Runs that made way for urgent jobs of one queue.
@@ -63,7 +63,7 @@
   /// Time of these jobs beyond their work.
   Duration lost;
   std::string main_cause;
-  TopJobs dearest;
+  TopJobs top_jobs;
 };
 
 struct WorkReport {
