--- a/soak/soak_platform.h
+++ b/soak/soak_platform.h
@@ -166,7 +166,7 @@
   bool guards_room_;
   bool keeps_ids_;
   /// Under the shed's lock.
-  emulator::RoomWatch rooms_;
+  emulator::CapacityHistory rooms_;
   ConfigWrite newest_config_;
   /// Runners that said that they leave, and when; under the shed's lock.
   std::map<RunnerId, TimePoint> draining_;
--- a/src/emulator/capacity_history.h
+++ b/src/emulator/capacity_history.h
@@ -20,10 +20,10 @@
 /// Remembers rooms that runners had before they shrank.
 ///
 /// Thread safety: none; callers lock.
-class RoomWatch {
+class CapacityHistory {
  public:
   /// A room that has shrunk counts for starts `notice` later.
-  explicit RoomWatch(Duration notice) : notice_(notice) {}
+  explicit CapacityHistory(Duration notice) : notice_(notice) {}
 
   /// The runner's room changes from `before`.
   void NoteChange(const RunnerId& runner, const dispatch::Resources& before,
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -345,7 +345,7 @@
   int polls_ = 0;
   ReducerUse reducer_use_;
   CrashCount crashes_;
-  RoomWatch rooms_;
+  CapacityHistory rooms_;
   /// Halls that are to be emptied, and since when.
   std::map<HallId, TimePoint> emptied_halls_;
   /// Entries of runners that crashed, until they lapse.
