--- a/src/cli/delays.cc
+++ b/src/cli/delays.cc
@@ -28,7 +28,7 @@
 class DelayWalk {
  public:
   /// From `end_ms` on, when the job settled or was still open.
-  DelayWalk(const JobHistory& job, const std::vector<Reign>& reigns,
+  DelayWalk(const JobHistory& job, const std::vector<LeadershipTerm>& reigns,
             std::int64_t end_ms)
       : job_(job), reigns_(reigns), at_ms_(end_ms) {}
 
@@ -59,7 +59,7 @@
   std::string WaitReasonAt(std::int64_t at_ms, const TaskKey& key) const;
 
   const JobHistory& job_;
-  const std::vector<Reign>& reigns_;
+  const std::vector<LeadershipTerm>& reigns_;
   std::int64_t at_ms_;
   std::vector<Delay> delays_;
 };
@@ -72,7 +72,7 @@
 
 bool DelayWalk::SomebodySchedules(std::int64_t at_ms) const {
   return std::any_of(reigns_.begin(), reigns_.end(),
-                     [at_ms](const Reign& reign) {
+                     [at_ms](const LeadershipTerm& reign) {
                        return reign.from_ms <= at_ms && at_ms < reign.to_ms;
                      });
 }
@@ -94,7 +94,7 @@
   const auto add = [this, from_ms, &edges](std::int64_t at_ms) {
     if (at_ms > from_ms && at_ms < at_ms_) edges.insert(at_ms);
   };
-  for (const Reign& reign : reigns_) {
+  for (const LeadershipTerm& reign : reigns_) {
     add(reign.from_ms);
     add(reign.to_ms);
   }
@@ -209,12 +209,12 @@
 }  // namespace
 
 std::vector<Delay> DelaysOf(const JobHistory& job,
-                            const std::vector<Reign>& reigns) {
+                            const std::vector<LeadershipTerm>& reigns) {
   return DelayWalk(job, reigns, job.settled_ms).Walk();
 }
 
 std::vector<Delay> DelaysUntil(const JobHistory& job,
-                               const std::vector<Reign>& reigns,
+                               const std::vector<LeadershipTerm>& reigns,
                                std::int64_t until_ms) {
   return DelayWalk(job, reigns, until_ms).WalkOpen();
 }
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -123,7 +123,7 @@
 };
 
 /// A time in which one process scheduled.
-struct Reign {
+struct LeadershipTerm {
   std::string instance;
   std::int64_t from_ms = 0;
   std::int64_t to_ms = 0;
@@ -133,7 +133,7 @@
 struct Histories {
   std::map<std::string, JobHistory> jobs;
   /// In order of time.
-  std::vector<Reign> reigns;
+  std::vector<LeadershipTerm> reigns;
 };
 
 /// Puts the histories together. `entries`: in order of time. Safe from any
--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -34,8 +34,9 @@
   return standing->ages[band];
 }
 
-void AddOpenJob(const JobHistory& job, const std::vector<Reign>& reigns,
-                std::int64_t end_ms, QueueStanding* standing) {
+void AddOpenJob(const JobHistory& job,
+                const std::vector<LeadershipTerm>& reigns, std::int64_t end_ms,
+                QueueStanding* standing) {
   AgeBand& band = BandOf(Duration(end_ms - job.asked_ms), standing);
   ++standing->open;
   ++band.jobs;
