--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -82,7 +82,7 @@
   int store_slowness = 1;
   std::set<int> nodes_without_store;
   /// Parts of the store that are away while the others are there.
-  std::set<std::string> parts_down;
+  std::set<std::string> partitions_down;
   std::set<RunnerId> unreachable_runners;
   /// Runners that hear nothing and answer nothing though all links are sound:
   /// no excuse for a node that goes on starting tasks there.
@@ -264,7 +264,7 @@
   /// True while the node's calls don't reach the store.
   bool IsCutOffFromStore(int node) const;
   bool IsAway(const std::string& partition) const {
-    return faults_.parts_down.count(partition) != 0;
+    return faults_.partitions_down.count(partition) != 0;
   }
   /// Carries a call to the store out; the answer comes later or never.
   template <typename Answer>
--- a/test/cancel-fuzz-test.cc
+++ b/test/cancel-fuzz-test.cc
@@ -235,7 +235,7 @@
         faults.store_answers_lost = 0.3;
         break;
       case 12:
-        faults.parts_down.insert(dispatch::AllJobPartitions()[Pick(
+        faults.partitions_down.insert(dispatch::AllJobPartitions()[Pick(
             0, dispatch::kJobPartitions - 1)]);
         break;
       case 13:
--- a/test/dispatch-simulation.h
+++ b/test/dispatch-simulation.h
@@ -208,7 +208,7 @@
       default:
         RemoveFaults();
         if (OneIn(2)) break;
-        faults.parts_down = {dispatch::AllJobPartitions()[Pick(
+        faults.partitions_down = {dispatch::AllJobPartitions()[Pick(
             0, dispatch::kJobPartitions - 1)]};
     }
   }
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -141,7 +141,7 @@
 
 // New jobs are started while a partition is unavailable.
 TEST(Outage, JobsOfOtherPartitionsStartWhileOneIsUnavailable) {
-  system.faults().parts_down = {dispatch::AllJobPartitions()[0]};
+  system.faults().partitions_down = {dispatch::AllJobPartitions()[0]};
   system.KillNode(system.leader(), Duration(500));
   system.Run(Duration(5000));
   std::vector<JobId> jobs;
@@ -202,10 +202,10 @@
   const JobId job = Submit(Step(2, 1, Duration(1500)));
   system.Run(Duration(700));
   // Only the partition with the scheduler's own rows is unavailable.
-  system.faults().parts_down = {""};
+  system.faults().partitions_down = {""};
   system.Run(Duration(200000));
   system.KillNode(system.leader(), Duration(500));
-  system.faults().parts_down.clear();
+  system.faults().partitions_down.clear();
   system.Run(Duration(40000));
   STRCMP_EQUAL("done", system.StateOf(job).c_str());
   CheckNoViolation();
@@ -215,10 +215,10 @@
 TEST(Outage, RunsOfAnUnavailablePartitionKeepTheirLeases) {
   const JobId job = Submit(Step(1, 8, Duration(12000)));
   system.Run(Duration(1000));
-  system.faults().parts_down = {dispatch::JobPartition(job.value())};
+  system.faults().partitions_down = {dispatch::JobPartition(job.value())};
   system.KillNode(system.leader(), Duration(500));
   system.Run(Duration(9000));
-  system.faults().parts_down.clear();
+  system.faults().partitions_down.clear();
   system.Run(Duration(6000));
   STRCMP_EQUAL("done", system.StateOf(job).c_str());
   for (const auto& [task, starts] : Watch(job).starts) LONGS_EQUAL(1, starts);
--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -125,14 +125,14 @@
   for (int i = 0; i < kJobs; ++i) Submit(Step(1, 0, Duration(100)));
   system.Run(Duration(20000));
   for (const std::string& part : dispatch::AllJobPartitions()) {
-    system.faults().parts_down.insert(part);
+    system.faults().partitions_down.insert(part);
   }
   system.Run(Duration(175000));
   const int before = system.commits();
   system.Run(Duration(10000));
   // Three lease renewals and one rejected removal per second.
   CHECK_TRUE(system.commits() - before < 50);
-  system.faults().parts_down.clear();
+  system.faults().partitions_down.clear();
   system.Run(Duration(5000));
   for (const auto& [id, watch] : system.jobs()) {
     STRCMP_EQUAL("gone", system.StateOf(id).c_str());
--- a/test/take-over-test.cc
+++ b/test/take-over-test.cc
@@ -115,10 +115,10 @@
     jobs.push_back(Submit(Step(1, 1, Duration(9000))));
   }
   system.Run(Duration(1000));
-  system.faults().parts_down = {dispatch::JobPartition(jobs[0].value())};
+  system.faults().partitions_down = {dispatch::JobPartition(jobs[0].value())};
   system.KillNode(system.leader(), Duration(500));
   system.Run(Duration(8000));
-  system.faults().parts_down.clear();
+  system.faults().partitions_down.clear();
   system.Run(Duration(6000));
   for (const JobId& job : jobs) {
     STRCMP_EQUAL("done", system.StateOf(job).c_str());
@@ -142,12 +142,12 @@
     const JobId job = emulated.Submit(spec, {truth});
     emulated.Run(Duration(1000));
     const RunnerId runner("i-4-1");
-    emulated.faults().parts_down = {dispatch::JobPartition(job.value())};
+    emulated.faults().partitions_down = {dispatch::JobPartition(job.value())};
     emulated.KillNode(emulated.leader(), Duration(500));
     emulated.Run(Duration(cut_off_at));
     emulated.faults().unreachable_runners = {runner};
     emulated.Run(Duration(100));
-    emulated.faults().parts_down.clear();
+    emulated.faults().partitions_down.clear();
     emulated.Run(Duration(9000));
     for (const std::string& error : emulated.violations()) FAIL(error.c_str());
   }
@@ -161,7 +161,7 @@
   EmulatedSystem other(options);
   other.Run(Duration(3000));
   const std::string unavailable_partition = dispatch::AllJobPartitions()[0];
-  other.faults().parts_down = {unavailable_partition};
+  other.faults().partitions_down = {unavailable_partition};
   other.KillNode(other.leader(), Duration(500));
   other.Run(Duration(5000));
   std::vector<JobId> jobs;
@@ -173,7 +173,7 @@
   }
   other.Run(Duration(2000));
   for (const JobId& job : jobs) CHECK_TRUE(other.jobs().at(job).starts.empty());
-  other.faults().parts_down.clear();
+  other.faults().partitions_down.clear();
   other.Run(Duration(5000));
   for (const JobId& job : jobs) {
     STRCMP_EQUAL("done", other.StateOf(job).c_str());
@@ -219,12 +219,12 @@
     system.FindRunner(id)->ForEachRun(
         [&](const dispatch::TaskName&, int) { runner = id; });
   }
-  system.faults().parts_down = {dispatch::JobPartition(job.value())};
+  system.faults().partitions_down = {dispatch::JobPartition(job.value())};
   system.KillNode(system.leader(), Duration(20000));
   system.Run(Duration(3000));
   system.CrashRunner(runner, Duration(1));
   system.Run(Duration(2000));
-  system.faults().parts_down.clear();
+  system.faults().partitions_down.clear();
   system.Run(Duration(20000));
   STRCMP_EQUAL("done", system.StateOf(job).c_str());
 }
