--- a/src/cli/delays.cc
+++ b/src/cli/delays.cc
@@ -28,9 +28,10 @@
 class DelayWalk {
  public:
   /// From `end_ms` on, when the job settled or was still open.
-  DelayWalk(const JobHistory& job, const std::vector<LeadershipTerm>& reigns,
+  DelayWalk(const JobHistory& job,
+            const std::vector<LeadershipTerm>& leadership_terms,
             std::int64_t end_ms)
-      : job_(job), reigns_(reigns), at_ms_(end_ms) {}
+      : job_(job), reigns_(leadership_terms), at_ms_(end_ms) {}
 
   std::vector<Delay> Walk();
   std::vector<Delay> WalkOpen();
@@ -208,15 +209,16 @@
 
 }  // namespace
 
-std::vector<Delay> DelaysOf(const JobHistory& job,
-                            const std::vector<LeadershipTerm>& reigns) {
-  return DelayWalk(job, reigns, job.settled_ms).Walk();
+std::vector<Delay> DelaysOf(
+    const JobHistory& job,
+    const std::vector<LeadershipTerm>& leadership_terms) {
+  return DelayWalk(job, leadership_terms, job.settled_ms).Walk();
 }
 
-std::vector<Delay> DelaysUntil(const JobHistory& job,
-                               const std::vector<LeadershipTerm>& reigns,
-                               std::int64_t until_ms) {
-  return DelayWalk(job, reigns, until_ms).WalkOpen();
+std::vector<Delay> DelaysUntil(
+    const JobHistory& job, const std::vector<LeadershipTerm>& leadership_terms,
+    std::int64_t until_ms) {
+  return DelayWalk(job, leadership_terms, until_ms).WalkOpen();
 }
 
 }  // namespace limeledge
--- a/src/cli/delays.h
+++ b/src/cli/delays.h
@@ -34,16 +34,16 @@
 /// the runs that decided its length: the task that ended last, the step before
 /// it that ended last, and so on. Empty if the logs do not tell its beginning
 /// and its end. Safe from any thread.
-std::vector<Delay> DelaysOf(const JobHistory& job,
-                            const std::vector<LeadershipTerm>& reigns);
+std::vector<Delay> DelaysOf(
+    const JobHistory& job, const std::vector<LeadershipTerm>& leadership_terms);
 
 /// The same for a job that is open at `until_ms`, the last line's wall time:
 /// along the task not done that has had no run for longest or, if all have one,
 /// whose run began last. Empty if the logs do not tell its beginning. Safe from
 /// any thread.
-std::vector<Delay> DelaysUntil(const JobHistory& job,
-                               const std::vector<LeadershipTerm>& reigns,
-                               std::int64_t until_ms);
+std::vector<Delay> DelaysUntil(
+    const JobHistory& job, const std::vector<LeadershipTerm>& leadership_terms,
+    std::int64_t until_ms);
 
 }  // namespace limeledge
 
--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -151,8 +151,9 @@
     if (told != RunFate::kStopped || run.fate == RunFate::kGoesOn) {
       run.fate = told;
     }
-    const bool taken_over = !histories_.reigns.empty() &&
-                            histories_.reigns.back().to_ms >= run.begun_ms;
+    const bool taken_over =
+        !histories_.leadership_terms.empty() &&
+        histories_.leadership_terms.back().to_ms >= run.begun_ms;
     if (run.fate == RunFate::kRunnerLost && taken_over) {
       run.fate = RunFate::kTakeOver;
     }
@@ -183,7 +184,7 @@
 void HistoryReader::EndReign(const std::string& instance, std::int64_t at_ms) {
   const auto found = reigns_.find(instance);
   if (found == reigns_.end()) return;
-  histories_.reigns.push_back({instance, found->second, at_ms});
+  histories_.leadership_terms.push_back({instance, found->second, at_ms});
   reigns_.erase(found);
 }
 
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -133,7 +133,7 @@
 struct Histories {
   std::map<std::string, JobHistory> jobs;
   /// In order of time.
-  std::vector<LeadershipTerm> reigns;
+  std::vector<LeadershipTerm> leadership_terms;
 };
 
 /// Puts the histories together. `entries`: in order of time. Safe from any
--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -35,15 +35,15 @@
 }
 
 void AddOpenJob(const JobHistory& job,
-                const std::vector<LeadershipTerm>& reigns, std::int64_t end_ms,
-                QueueStanding* standing) {
+                const std::vector<LeadershipTerm>& leadership_terms,
+                std::int64_t end_ms, QueueStanding* standing) {
   AgeBand& band = BandOf(Duration(end_ms - job.asked_ms), standing);
   ++standing->open;
   ++band.jobs;
   band.tasks_not_done += TasksNotDone(job);
   CountDisplaced(job, &band.displaced);
   Duration lost;
-  for (const Delay& delay : DelaysUntil(job, reigns, end_ms)) {
+  for (const Delay& delay : DelaysUntil(job, leadership_terms, end_ms)) {
     Duration& length = band.causes[delay.cause];
     length = length + delay.length;
     if (delay.cause != kCauseWork) lost = lost + delay.length;
@@ -110,7 +110,7 @@
         standings.try_emplace(GroupName(job.queue), EmptyStanding())
             .first->second;
     if (job.settled_ms == 0) {
-      AddOpenJob(job, histories.reigns, end_ms, &standing);
+      AddOpenJob(job, histories.leadership_terms, end_ms, &standing);
     } else {
       ++standing.settled;
     }
--- a/src/cli/work_report.cc
+++ b/src/cli/work_report.cc
@@ -177,7 +177,7 @@
     if (open) report.open_jobs.push_back(id);
     // A cancelled job's time is its caller's.
     if (job.state == kStateCancelled) continue;
-    const std::vector<Delay> delays = DelaysOf(job, histories.reigns);
+    const std::vector<Delay> delays = DelaysOf(job, histories.leadership_terms);
     if (delays.empty()) continue;
     ++report.settled_jobs;
     const std::map<std::string, Duration> causes = ByCause(delays);
--- a/test/work-report-test.cc
+++ b/test/work-report-test.cc
@@ -21,7 +21,7 @@
     const Histories histories = ReadHistories(lines);
     std::int64_t sum = 0;
     for (const Delay& delay :
-         DelaysOf(histories.jobs.at("aa"), histories.reigns)) {
+         DelaysOf(histories.jobs.at("aa"), histories.leadership_terms)) {
       if (delay.cause == cause) sum += delay.length.ms();
     }
     return sum;
@@ -31,7 +31,7 @@
     const Histories histories = ReadHistories(lines);
     std::int64_t sum = 0;
     for (const Delay& delay :
-         DelaysOf(histories.jobs.at("aa"), histories.reigns)) {
+         DelaysOf(histories.jobs.at("aa"), histories.leadership_terms)) {
       sum += delay.length.ms();
     }
     return sum;
