--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -106,7 +106,7 @@
     platform_->WithOracle([&](emulator::PromiseOracle& oracle) {
       emulator::JobWatch& watch = *oracle.Find(job.spec.id);
       if (accepted) watch.accepted = true;
-      if (sent && !refused) watch.may_be_taken = true;
+      if (sent && !refused) watch.may_be_accepted = true;
     });
     if (accepted) return true;
     if (refused) ++counts_.refused;
--- a/soak/verdict.cc
+++ b/soak/verdict.cc
@@ -46,7 +46,7 @@
 std::string Complaint(const emulator::JobWatch& watch,
                       const std::string& state) {
   const bool started = !watch.starts.empty();
-  if (!watch.may_be_taken && started) return "ran, though it was refused";
+  if (!watch.may_be_accepted && started) return "ran, though it was refused";
   if (!watch.accepted) return "";
   if (state.empty()) return "is not answered for";
   if (state == "gone") return "was accepted and is not known";
--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -80,12 +80,12 @@
     JobWatch& submitted = *oracle_.Find(job);
     if (answer != nullptr && answer->result == CallResult::kDone) {
       submitted.accepted = true;
-      submitted.may_be_taken = true;
+      submitted.may_be_accepted = true;
       return;
     }
     const bool refused =
         answer != nullptr && answer->result == CallResult::kNotAccepted;
-    if (!refused) submitted.may_be_taken = true;
+    if (!refused) submitted.may_be_accepted = true;
     At(now_ + kCallerRetry, [this, job] { SendSubmit(job); });
   });
 }
--- a/src/emulator/emulated_oracle.cc
+++ b/src/emulator/emulated_oracle.cc
@@ -138,7 +138,7 @@
   JobWatch* watch = oracle_.Find(order.task.job);
   if (watch == nullptr) return;
   // The answer may be on its way; a refusal must not follow.
-  watch->may_be_taken = true;
+  watch->may_be_accepted = true;
   const dispatch::StepName step{order.task.job, order.task.occurrence,
                                 order.task.step};
   if (watch->spec.policy.priority == kAdvisedPriority &&
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -38,7 +38,7 @@
   std::vector<TaskTruth> truths;
   bool accepted = false;
   /// An attempt to hand it in was not answered by a refusal.
-  bool may_be_taken = false;
+  bool may_be_accepted = false;
   bool cancel_sent = false;
   /// When a caller was first told that the job is cancelled.
   std::optional<TimePoint> cancelled_at;
