--- a/src/cli/delays.cc
+++ b/src/cli/delays.cc
@@ -126,7 +126,7 @@
 }
 
 void DelayWalk::WalkRun(const LoggedRun& run) {
-  const bool lost = run.fate != RunFate::kDone && run.fate != RunFate::kGoesOn;
+  const bool lost = run.fate != RunFate::kDone && run.fate != RunFate::kOngoing;
   if (lost) {
     Back(run.begun_ms, absl::StrCat("lost run: ", ToString(run.fate)));
     return;
--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -28,13 +28,13 @@
   return absl::SimpleAtoi(entry.Field(field), &number) ? number : 0;
 }
 
-/// The fate that the line of a stop tells; `kGoesOn` for other lines.
+/// The fate that the line of a stop tells; `kOngoing` for other lines.
 RunFate FateOfStop(const std::string& event) {
   if (event == "run_displaced") return RunFate::kDisplaced;
   if (event == "run_moved") return RunFate::kMovedOffSlow;
   if (event == "run_stalled") return RunFate::kStoodStill;
   if (event == "run_evacuated") return RunFate::kEvacuated;
-  return RunFate::kGoesOn;
+  return RunFate::kOngoing;
 }
 
 /// The fate that an end tells; `kStopped` where another line tells why.
@@ -132,7 +132,7 @@
   const Task task = TaskOf(entry);
   if (task.job == nullptr || task.runs->empty()) return;
   LoggedRun& run = task.runs->back();
-  if (run.ended_ms != 0 || run.fate != RunFate::kGoesOn) return;
+  if (run.ended_ms != 0 || run.fate != RunFate::kOngoing) return;
   run.fate = fate;
   run.stopped_ms = entry.wall_ms;
   run.displaced_for = entry.Field("for");
@@ -148,7 +148,7 @@
     run.saved = entry.Field("saved") == "yes";
     const RunFate told = FateOfEnd(entry.Field("end"));
     // What stopped it says more than that it stopped.
-    if (told != RunFate::kStopped || run.fate == RunFate::kGoesOn) {
+    if (told != RunFate::kStopped || run.fate == RunFate::kOngoing) {
       run.fate = told;
     }
     const bool taken_over =
@@ -214,7 +214,7 @@
     job->workspace = entry.Field("workspace");
   } else if (event == "run_assigned") {
     AddAssignment(entry);
-  } else if (stop != RunFate::kGoesOn) {
+  } else if (stop != RunFate::kOngoing) {
     AddStop(entry, stop);
   } else if (event == "run_ended") {
     AddEnd(entry);
@@ -238,7 +238,7 @@
   };
   std::map<Group, const LoggedRun*> first;
   const auto tells = [](const LoggedRun& run) {
-    return run.fate != RunFate::kStopped && run.fate != RunFate::kGoesOn &&
+    return run.fate != RunFate::kStopped && run.fate != RunFate::kOngoing &&
            run.fate != RunFate::kDone;
   };
   for (const auto& [key, runs] : job->tasks) {
@@ -298,7 +298,7 @@
 
 const char* ToString(RunFate fate) {
   switch (fate) {
-    case RunFate::kGoesOn:
+    case RunFate::kOngoing:
       return "goes on";
     case RunFate::kDone:
       return "done";
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -24,7 +24,7 @@
 
 /// Why the scheduler stopped a run, or how it ended otherwise.
 enum class RunFate {
-  kGoesOn,
+  kOngoing,
   kDone,
   /// By its own fault or its runner's.
   kFailed,
@@ -72,7 +72,7 @@
   Duration expected_near;
   std::int64_t accelerators = 0;
   std::int64_t cpu_millis = 0;
-  RunFate fate = RunFate::kGoesOn;
+  RunFate fate = RunFate::kOngoing;
   /// A checkpoint was left, from which the next run goes on.
   bool saved = false;
   /// When the scheduler decided to stop it; 0 if no line tells that.
