--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -285,7 +285,7 @@
   for (const std::string& address : addresses) DropIfCrashed(address);
 }
 
-void EmulatedSystem::SetEmptied(const HallId& hall, bool emptied) {
+void EmulatedSystem::SetDrained(const HallId& hall, bool emptied) {
   if (emptied) {
     emptied_halls_.emplace(hall, now_);
   } else {
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -174,7 +174,7 @@
   /// The same as a crash: its entry stays in the list until it lapses.
   void CrashRunner(const RunnerId& runner, Duration down);
   /// The operator has a hall emptied, or gives it back.
-  void SetEmptied(const HallId& hall, bool emptied);
+  void SetDrained(const HallId& hall, bool emptied);
   /// The runner's room changes while it runs, and its entry with it.
   void SetRoom(const RunnerId& runner, const dispatch::Resources& room);
   /// The runner says that it leaves, and does so after `time`.
--- a/test/hall-emptying-test.cc
+++ b/test/hall-emptying-test.cc
@@ -29,7 +29,7 @@
 TEST_GROUP_BASE(HallEmptying, HallEmptyingFixture){};
 
 TEST(HallEmptying, NothingStartsInADrainedHall) {
-  system.SetEmptied(hall, true);
+  system.SetDrained(hall, true);
   system.Run(Duration(6000));
   for (int i = 0; i < 8; ++i) Submit(Step(8, 1, Duration(4000)), i % 2);
   system.Run(Duration(2000));
@@ -39,9 +39,9 @@
 }
 
 TEST(HallEmptying, UndrainedHallIsUsedAgain) {
-  system.SetEmptied(hall, true);
+  system.SetDrained(hall, true);
   system.Run(Duration(3000));
-  system.SetEmptied(hall, false);
+  system.SetDrained(hall, false);
   system.Run(Duration(3000));
   for (int i = 0; i < 8; ++i) Submit(Step(8, 1, Duration(4000)), 0);
   system.Run(Duration(1000));
@@ -49,7 +49,7 @@
 }
 
 TEST(HallEmptying, NewLeaderKnowsTheDrainedHalls) {
-  system.SetEmptied(hall, true);
+  system.SetDrained(hall, true);
   system.Run(Duration(6000));
   system.KillNode(system.leader(), Duration(1000));
   for (int i = 0; i < 8; ++i) Submit(Step(8, 1, Duration(4000)), i % 2);
@@ -63,7 +63,7 @@
 TEST(HallEmptying, RunsInADrainedHallContinue) {
   const JobId job = Submit(Step(8, 1, Duration(6000)), 0);
   system.Run(Duration(1000));
-  system.SetEmptied(hall, true);
+  system.SetDrained(hall, true);
   system.Run(Duration(9000));
   STRCMP_EQUAL("done", system.StateOf(job).c_str());
   for (const auto& [task, starts] : Watch(job).starts) LONGS_EQUAL(1, starts);
