--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -30,7 +30,7 @@
 
 /// The fate that the line of a stop tells; `kOngoing` for other lines.
 RunFate FateOfStop(const std::string& event) {
-  if (event == "run_displaced") return RunFate::kDisplaced;
+  if (event == "run_displaced") return RunFate::kPreempted;
   if (event == "run_moved") return RunFate::kMovedOffSlow;
   if (event == "run_stalled") return RunFate::kStoodStill;
   if (event == "run_evacuated") return RunFate::kEvacuated;
@@ -304,7 +304,7 @@
       return "done";
     case RunFate::kFailed:
       return "failed";
-    case RunFate::kDisplaced:
+    case RunFate::kPreempted:
       return "made way for urgent work";
     case RunFate::kMovedOffSlow:
       return "moved off a slow runner";
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -29,7 +29,7 @@
   /// By its own fault or its runner's.
   kFailed,
   /// Made way for an urgent job.
-  kDisplaced,
+  kPreempted,
   /// Taken off a runner that is slow, stands still or leaves.
   kMovedOffSlow,
   kStoodStill,
--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -73,7 +73,7 @@
   std::set<std::int64_t> moments;
   for (const auto& [key, runs] : job.tasks) {
     for (const LoggedRun& run : runs) {
-      if (run.fate == RunFate::kDisplaced) moments.insert(run.stopped_ms);
+      if (run.fate == RunFate::kPreempted) moments.insert(run.stopped_ms);
     }
   }
   return moments.size();
--- a/src/cli/work_report.cc
+++ b/src/cli/work_report.cc
@@ -129,7 +129,7 @@
     for (const auto& [key, runs] : job.tasks) {
       for (const LoggedRun& run : runs) {
         const bool made_way =
-            run.fate == RunFate::kDisplaced && run.ended_ms != 0;
+            run.fate == RunFate::kPreempted && run.ended_ms != 0;
         if (made_way) displaced[run.displaced_for].push_back(&run);
       }
     }
