--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -155,7 +155,7 @@
   }
   const std::map<JobId, JobWatch>& jobs() const { return oracle_.jobs(); }
   /// What a node that runs makes of the store's silence.
-  dispatch::StoreOutage LossAt(int node) const {
+  dispatch::StoreOutage StoreOutageAt(int node) const {
     return processes_[node].node->store_loss();
   }
   /// The node that leads now; -1 for none.
--- a/test/coming-back-test.cc
+++ b/test/coming-back-test.cc
@@ -17,10 +17,10 @@
   const int lost = (system.leader() + 1) % 3;
   system.faults().nodes_without_store = {lost};
   system.Run(Duration(2500));
-  CHECK_TRUE(system.LossAt(lost) == dispatch::StoreOutage::kLocal);
+  CHECK_TRUE(system.StoreOutageAt(lost) == dispatch::StoreOutage::kLocal);
   system.faults().nodes_without_store.clear();
   system.Run(Duration(1500));
-  CHECK_TRUE(system.LossAt(lost) == dispatch::StoreOutage::kUnknown);
+  CHECK_TRUE(system.StoreOutageAt(lost) == dispatch::StoreOutage::kUnknown);
 }
 
 // Guards against callers being told to retry at once while the store is down
@@ -30,11 +30,11 @@
   for (int i = 0; i < 40; ++i) {
     system.Run(Duration(100));
     for (int node = 0; node < 3; ++node) {
-      CHECK_TRUE(system.LossAt(node) != dispatch::StoreOutage::kLocal);
+      CHECK_TRUE(system.StoreOutageAt(node) != dispatch::StoreOutage::kLocal);
     }
   }
   for (int node = 0; node < 3; ++node) {
-    CHECK_TRUE(system.LossAt(node) == dispatch::StoreOutage::kGlobal);
+    CHECK_TRUE(system.StoreOutageAt(node) == dispatch::StoreOutage::kGlobal);
   }
 }
 
