--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -32,7 +32,7 @@
 RunFate FateOfStop(const std::string& event) {
   if (event == "run_displaced") return RunFate::kPreempted;
   if (event == "run_moved") return RunFate::kMovedOffSlow;
-  if (event == "run_stalled") return RunFate::kStoodStill;
+  if (event == "run_stalled") return RunFate::kStalled;
   if (event == "run_evacuated") return RunFate::kEvacuated;
   return RunFate::kOngoing;
 }
@@ -308,7 +308,7 @@
       return "made way for urgent work";
     case RunFate::kMovedOffSlow:
       return "moved off a slow runner";
-    case RunFate::kStoodStill:
+    case RunFate::kStalled:
       return "stood still";
     case RunFate::kEvacuated:
       return "its runner leaves";
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -32,7 +32,7 @@
   kPreempted,
   /// Taken off a runner that is slow, stands still or leaves.
   kMovedOffSlow,
-  kStoodStill,
+  kStalled,
   kEvacuated,
   /// Its runner went, or its lease ran out.
   kRunnerLost,
