--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -27,7 +27,8 @@
 }  // namespace
 
 EmulatedRunner::EmulatedRunner(dispatch::RunnerInfo info, RunnerBounds bounds,
-                               Truth truth, GangBoard* board, TimePoint began)
+                               Truth truth, GangRegistry* board,
+                               TimePoint began)
     : info_(std::move(info)),
       bounds_(bounds),
       truth_(std::move(truth)),
@@ -351,15 +352,15 @@
   for (const auto& [name, run] : runs_) visit(name, run.number);
 }
 
-GangBoard::GangKey GangBoard::KeyOf(const TaskName& name, int run) {
+GangRegistry::GangKey GangRegistry::KeyOf(const TaskName& name, int run) {
   return {{name.job, name.occurrence, name.step, 0}, run};
 }
 
-void GangBoard::Join(const TaskName& name, int run, EmulatedRunner* runner) {
+void GangRegistry::Join(const TaskName& name, int run, EmulatedRunner* runner) {
   gangs_[KeyOf(name, run)].push_back({name, runner});
 }
 
-void GangBoard::Leave(const TaskName& name, int run, RunEnd end) {
+void GangRegistry::Leave(const TaskName& name, int run, RunEnd end) {
   const auto found = gangs_.find(KeyOf(name, run));
   if (found == gangs_.end()) return;
   std::vector<Member> others = std::move(found->second);
@@ -371,7 +372,7 @@
   }
 }
 
-int GangBoard::Present(const TaskName& name, int run) const {
+int GangRegistry::Present(const TaskName& name, int run) const {
   const auto found = gangs_.find(KeyOf(name, run));
   return found == gangs_.end() ? 0 : static_cast<int>(found->second.size());
 }
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -58,7 +58,7 @@
 };
 
 /// What runners share: the truth of tasks, and who is there of each gang.
-class GangBoard;
+class GangRegistry;
 
 /// One life of a runner.
 ///
@@ -69,7 +69,7 @@
 
   /// Its own clock counts from `began`.
   EmulatedRunner(dispatch::RunnerInfo info, RunnerBounds bounds, Truth truth,
-                 GangBoard* board, TimePoint began);
+                 GangRegistry* board, TimePoint began);
   ~EmulatedRunner();
   EmulatedRunner(const EmulatedRunner&) = delete;
   EmulatedRunner& operator=(const EmulatedRunner&) = delete;
@@ -158,7 +158,7 @@
   dispatch::RunnerInfo info_;
   RunnerBounds bounds_;
   Truth truth_;
-  GangBoard* board_;
+  GangRegistry* board_;
   TimePoint began_;
   TimePoint now_;
   std::optional<TimePoint> first_poll_at_;
@@ -185,7 +185,7 @@
 /// Brings the members of a gang's run together.
 ///
 /// Thread safety: none; callers lock.
-class GangBoard {
+class GangRegistry {
  public:
   void Join(const dispatch::TaskName& name, int run, EmulatedRunner* runner);
   /// Takes a member away; the others end by it.
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -357,7 +357,7 @@
   /// Lives that began at each place.
   std::map<int, int> lives_;
   std::size_t longest_order_lane_ = 0;
-  GangBoard board_;
+  GangRegistry board_;
   dispatch::Catalog catalog_;
   std::vector<Process> processes_;
   std::map<RunnerId, std::unique_ptr<EmulatedRunner>> runners_;
