--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -155,7 +155,7 @@
         !histories_.leadership_terms.empty() &&
         histories_.leadership_terms.back().to_ms >= run.begun_ms;
     if (run.fate == RunFate::kRunnerLost && taken_over) {
-      run.fate = RunFate::kTakeOver;
+      run.fate = RunFate::kLostInFailover;
     }
   }
 }
@@ -314,7 +314,7 @@
       return "its runner leaves";
     case RunFate::kRunnerLost:
       return "its runner was lost";
-    case RunFate::kTakeOver:
+    case RunFate::kLostInFailover:
       return "lost at a take-over";
     case RunFate::kCancelled:
       return "its job was cancelled or failed";
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -37,7 +37,7 @@
   /// Its runner went, or its lease ran out.
   kRunnerLost,
   /// A new scheduler did not find it on its runner.
-  kTakeOver,
+  kLostInFailover,
   kCancelled,
   /// Never began.
   kRejected,
--- a/test/work-report-test.cc
+++ b/test/work-report-test.cc
@@ -175,7 +175,7 @@
   Assign(1000, "aa.0.0.0", 1);
   Line(3000, "leader_claimed", {{"epoch", "2"}}, "e2");
   End(3100, "aa.0.0.0", 1, "lapsed");
-  LONGS_EQUAL(1, WasteOf(RunFate::kTakeOver).runs);
+  LONGS_EQUAL(1, WasteOf(RunFate::kLostInFailover).runs);
 }
 
 TEST(WorkReport, RoomThatWasMadeIsUsedIfTheJobStartsOnThatRunner) {
