--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -293,8 +293,8 @@
   }
 }
 
-void EmulatedSystem::SetRoom(const RunnerId& runner,
-                             const dispatch::Resources& room) {
+void EmulatedSystem::SetCapacity(const RunnerId& runner,
+                                 const dispatch::Resources& room) {
   EmulatedRunner* found = FindRunner(runner);
   if (found == nullptr) return;
   rooms_.NoteChange(runner, found->info().room, now_);
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -176,7 +176,7 @@
   /// The operator has a hall emptied, or gives it back.
   void SetDrained(const HallId& hall, bool emptied);
   /// The runner's room changes while it runs, and its entry with it.
-  void SetRoom(const RunnerId& runner, const dispatch::Resources& room);
+  void SetCapacity(const RunnerId& runner, const dispatch::Resources& room);
   /// The runner says that it leaves, and does so after `time`.
   void DrainRunner(const RunnerId& runner, Duration time);
   EmulatedRunner* FindRunner(const RunnerId& runner);
--- a/test/room-fuzz-test.cc
+++ b/test/room-fuzz-test.cc
@@ -41,7 +41,7 @@
     }
     system_.faults() = Faults();
     for (const RunnerId& id : system_.RunnerIds()) {
-      system_.SetRoom(id, system_.room());
+      system_.SetCapacity(id, system_.room());
     }
     system_.Run(Duration(90000));
     std::vector<std::string> failures = system_.violations();
@@ -83,7 +83,7 @@
     room.cpu_millis = room.cpu_millis * parts / kCapacityParts;
     room.memory_mb = room.memory_mb * parts / kCapacityParts;
     room.accelerators = room.accelerators * parts / kCapacityParts;
-    system_.SetRoom(AnyRunner(), room);
+    system_.SetCapacity(AnyRunner(), room);
   }
 
   void Submit() {
--- a/test/room-test.cc
+++ b/test/room-test.cc
@@ -49,7 +49,7 @@
   one.Run(Duration(3000));
   SubmitTo(&one, Step(4, 1, Duration(20000)));
   one.Run(Duration(1000));
-  one.SetRoom(only, kHalfCapacity);
+  one.SetCapacity(only, kHalfCapacity);
   one.Run(Duration(6000));
   SubmitTo(&one, Step(4, 1, Duration(20000)));
   one.Run(Duration(8000));
@@ -60,12 +60,12 @@
 TEST(Room, RestoredCapacityIsUsedAtOnce) {
   EmulatedSystem one(options);
   one.Run(Duration(3000));
-  one.SetRoom(only, kNoCapacity);
+  one.SetCapacity(only, kNoCapacity);
   one.Run(Duration(6000));
   SubmitTo(&one, Step(4, 1, Duration(20000)));
   one.Run(Duration(3000));
   LONGS_EQUAL(0, RunsAt(&one, only));
-  one.SetRoom(only, kFullCapacity);
+  one.SetCapacity(only, kFullCapacity);
   one.Run(Duration(1200));
   LONGS_EQUAL(4, RunsAt(&one, only));
   CheckNoViolationIn(one);
@@ -80,7 +80,7 @@
   one.faults().order_time = Duration(900);
   const JobId job = SubmitTo(&one, Step(8, 1, Duration(30000)));
   one.Run(Duration(100));
-  one.SetRoom(only, {64000, 262144, 2});
+  one.SetCapacity(only, {64000, 262144, 2});
   one.Run(Duration(12000));
   // Some runs may start before the smaller capacity takes effect.
   CHECK_TRUE(one.jobs().at(job).starts.size() <= 4);
@@ -96,9 +96,9 @@
   four.faults().order_time = Duration(200);
   const JobId job = SubmitTo(&four, gang);
   four.Run(Duration(10));
-  four.SetRoom(RunnerId("i-2-1"), kHalfCapacity);
+  four.SetCapacity(RunnerId("i-2-1"), kHalfCapacity);
   four.Run(Duration(6000));
-  four.SetRoom(RunnerId("i-2-1"), kFullCapacity);
+  four.SetCapacity(RunnerId("i-2-1"), kFullCapacity);
   four.Run(Duration(12000));
   STRCMP_EQUAL("done", four.StateOf(job).c_str());
   CheckNoViolationIn(four);
@@ -110,7 +110,7 @@
   SubmitTo(&one, Step(4, 1, Duration(30000)));
   one.Run(Duration(1000));
   one.KillNode(one.leader(), Duration(500));
-  one.SetRoom(only, {64000, 262144, 5});
+  one.SetCapacity(only, {64000, 262144, 5});
   SubmitTo(&one, Step(4, 1, Duration(30000)));
   one.Run(Duration(12000));
   LONGS_EQUAL(5, RunsAt(&one, only));
@@ -125,7 +125,7 @@
   const JobId job = SubmitTo(&one, Step(8, 1, Duration(60000)));
   one.Run(Duration(300));
   one.faults().store_down = true;
-  one.SetRoom(only, kNoCapacity);
+  one.SetCapacity(only, kNoCapacity);
   one.Run(Duration(9000));
   CHECK_TRUE(one.jobs().at(job).starts.size() < 6);
   CheckNoViolationIn(one);
