--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -135,7 +135,7 @@
   if (run.ended_ms != 0 || run.fate != RunFate::kOngoing) return;
   run.fate = fate;
   run.stopped_ms = entry.wall_ms;
-  run.displaced_for = entry.Field("for");
+  run.preempted_for = entry.Field("for");
 }
 
 void HistoryReader::AddEnd(const LogEntry& entry) {
@@ -258,7 +258,7 @@
         run.fate = RunFate::kCancelled;
       } else if (found != first.end()) {
         run.fate = found->second->fate;
-        run.displaced_for = found->second->displaced_for;
+        run.preempted_for = found->second->preempted_for;
         run.stopped_ms = found->second->stopped_ms;
         run.with_its_gang = true;
       }
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -78,7 +78,7 @@
   /// When the scheduler decided to stop it; 0 if no line tells that.
   std::int64_t stopped_ms = 0;
   /// The urgent job it made way for.
-  std::string displaced_for;
+  std::string preempted_for;
   /// Another member of its gang ended first; `fate` is that member's.
   bool with_its_gang = false;
 
--- a/src/cli/work_report.cc
+++ b/src/cli/work_report.cc
@@ -130,7 +130,7 @@
       for (const LoggedRun& run : runs) {
         const bool made_way =
             run.fate == RunFate::kPreempted && run.ended_ms != 0;
-        if (made_way) displaced[run.displaced_for].push_back(&run);
+        if (made_way) displaced[run.preempted_for].push_back(&run);
       }
     }
   }
