--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -77,7 +77,8 @@
   if (at == runner_at_.end() || !Hears(at->second)) return;
   EmulatedRunner* runner = FindRunner(at->second);
   const dispatch::RunnerPolled answer = runner->Poll(poll);
-  const std::vector<dispatch::ReportedEnd> unread = runner->TakeUnreadEnds();
+  const std::vector<dispatch::ReportedEnd> unread =
+      runner->TakeUnreportedEnds();
   // A call that comes to a later life than it was meant for can't be taken
   // back: what that life forgets by it breaks no promise.
   if (poll.target.incarnation != runner->info().incarnation()) return;
@@ -127,7 +128,7 @@
   }
   // The lease is renewed when the look comes, not when it is answered.
   answer = runner->Poll(poll);
-  oracle_.NoteUnread(runner->TakeUnreadEnds());
+  oracle_.NoteUnread(runner->TakeUnreportedEnds());
   const bool waits = answer.outcome == OrderOutcome::kDone && now_ < until &&
                      !runner->HasNewEnds(poll.acknowledged_end);
   if (waits) {
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -343,7 +343,7 @@
   ended_.erase(ended_.begin(), first_kept);
 }
 
-std::vector<dispatch::ReportedEnd> EmulatedRunner::TakeUnreadEnds() {
+std::vector<dispatch::ReportedEnd> EmulatedRunner::TakeUnreportedEnds() {
   return std::exchange(unread_, {});
 }
 
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -95,7 +95,7 @@
 
   /// Ends that this life was told are known, though it never listed them; each
   /// is handed out once.
-  std::vector<dispatch::ReportedEnd> TakeUnreadEnds();
+  std::vector<dispatch::ReportedEnd> TakeUnreportedEnds();
 
   /// True if the runner's lease was over at some time since it listed the end.
   bool LapsedSince(std::int64_t end) const;
