--- a/src/cli/delays.cc
+++ b/src/cli/delays.cc
@@ -163,7 +163,7 @@
     task = LastDone(&key);
   }
   BackThroughWait(job_.accepted_ms, key);
-  Back(job_.asked_ms, kCauseNotAccepted);
+  Back(job_.first_submit_ms, kCauseNotAccepted);
   return std::move(delays_);
 }
 
--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -104,7 +104,7 @@
   if (entry.Field("call") != "submit") return;
   const std::string& path = entry.Field("path");
   JobHistory* job = JobOf(path.substr(path.rfind('/') + 1));
-  if (job->asked_ms == 0) job->asked_ms = entry.wall_ms;
+  if (job->first_submit_ms == 0) job->first_submit_ms = entry.wall_ms;
   const bool done = entry.Field("result") == "done";
   if (done && job->accepted_ms == 0) job->accepted_ms = entry.wall_ms;
 }
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -112,7 +112,7 @@
   std::string queue;
   std::string workspace;
   /// First answer to a submit, also a refusal.
-  std::int64_t asked_ms = 0;
+  std::int64_t first_submit_ms = 0;
   std::int64_t accepted_ms = 0;
   std::int64_t settled_ms = 0;
   std::string state;
--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -37,7 +37,7 @@
 void AddOpenJob(const JobHistory& job,
                 const std::vector<LeadershipTerm>& leadership_terms,
                 std::int64_t end_ms, QueueStanding* standing) {
-  AgeBand& band = BandOf(Duration(end_ms - job.asked_ms), standing);
+  AgeBand& band = BandOf(Duration(end_ms - job.first_submit_ms), standing);
   ++standing->open;
   ++band.jobs;
   band.tasks_not_done += TasksNotDone(job);
--- a/src/cli/work_report.cc
+++ b/src/cli/work_report.cc
@@ -184,7 +184,7 @@
     AddJob(job, causes, &report.queues[GroupName(job.queue)]);
     AddJob(job, causes, &report.workspaces[GroupName(job.workspace)]);
     const std::int64_t second =
-        (job.asked_ms - report.begin_ms) / kMillisPerSecond;
+        (job.first_submit_ms - report.begin_ms) / kMillisPerSecond;
     AddJob(job, causes, &seconds[second]);
   }
   AddDisplacing(histories, &report);
