--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -396,7 +396,7 @@
                           const dispatch::RunnerPolled& answer) {
   oracle_.NotePoll(poll, answer, [&](std::int64_t end) {
     const bool same_life = runner.info().id == poll.target.incarnation.runner;
-    return same_life && !runner.LapsedSince(end);
+    return same_life && !runner.LeaseExpiredSince(end);
   });
 }
 
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -91,7 +91,7 @@
                               const EmulatedRunner& runner) {
   oracle_.NotePoll(poll, answer, [&](std::int64_t end) {
     const bool same_runner = runner.info().id == poll.target.incarnation.runner;
-    return same_runner && !runner.LapsedSince(end);
+    return same_runner && !runner.LeaseExpiredSince(end);
   });
 }
 
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -87,7 +87,7 @@
   lapsed_ = over;
 }
 
-bool EmulatedRunner::LapsedSince(std::int64_t end) const {
+bool EmulatedRunner::LeaseExpiredSince(std::int64_t end) const {
   const auto found = lapses_at_end_.find(end);
   return found != lapses_at_end_.end() && found->second != lapses_;
 }
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -98,7 +98,7 @@
   std::vector<dispatch::ReportedEnd> TakeUnreportedEnds();
 
   /// True if the runner's lease was over at some time since it listed the end.
-  bool LapsedSince(std::int64_t end) const;
+  bool LeaseExpiredSince(std::int64_t end) const;
 
   /// Tasks take so many times as long from now on.
   void SetSlowness(double factor) { slowness_ = factor; }
