--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -260,7 +260,7 @@
         run.fate = found->second->fate;
         run.preempted_for = found->second->preempted_for;
         run.stopped_ms = found->second->stopped_ms;
-        run.with_its_gang = true;
+        run.ended_with_gang = true;
       }
     }
   }
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -80,7 +80,7 @@
   /// The urgent job it made way for.
   std::string preempted_for;
   /// Another member of its gang ended first; `fate` is that member's.
-  bool with_its_gang = false;
+  bool ended_with_gang = false;
 
   Duration length() const { return Duration(ended_ms - begun_ms); }
 };
