--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -377,7 +377,8 @@
     if (place->server != nullptr) place->server->AddRunning(&running);
   }
   oracle_.CheckRunning(running);
-  if (!guards_room_ && !rooms_.Allows(runner.info(), runner.UsedRoom(), now)) {
+  if (!guards_room_ &&
+      !rooms_.Allows(runner.info(), runner.UsedCapacity(), now)) {
     oracle_.Violate(absl::StrCat("start of ", ToString(order.task), " fills ",
                                  runner.info().id.value(), " over its room"));
   }
--- a/src/emulator/emulated_oracle.cc
+++ b/src/emulator/emulated_oracle.cc
@@ -112,7 +112,8 @@
 void EmulatedSystem::CheckRoom(const EmulatedRunner& runner,
                                const dispatch::StartRun& order,
                                TimePoint sent_at) {
-  const bool allowed = rooms_.Allows(runner.info(), runner.UsedRoom(), sent_at);
+  const bool allowed =
+      rooms_.Allows(runner.info(), runner.UsedCapacity(), sent_at);
   if (options_.enforces_capacity || allowed) return;
   oracle_.Violate(absl::StrCat("start of ", ToString(order.task), " fills ",
                                runner.info().id.value(), " over its room"));
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -53,7 +53,7 @@
   return kClockStart + (now_ - began_).ms();
 }
 
-dispatch::Resources EmulatedRunner::UsedRoom() const {
+dispatch::Resources EmulatedRunner::UsedCapacity() const {
   dispatch::Resources used;
   for (const auto& [name, run] : runs_) used += run.truth.need;
   return used;
@@ -238,7 +238,7 @@
   }
   if (too_late) return OrderOutcome::kLeaseExpired;
   const TaskTruth truth = truth_(order.task);
-  dispatch::Resources used = UsedRoom();
+  dispatch::Resources used = UsedCapacity();
   used += truth.need;
   if (bounds_.guards_room && !used.Fits(info_.room)) {
     return OrderOutcome::kNoCapacity;
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -109,7 +109,7 @@
 
   /// What all runs that have not ended take, those that are being stopped
   /// included.
-  dispatch::Resources UsedRoom() const;
+  dispatch::Resources UsedCapacity() const;
 
   /// The task that crashed this life; nothing while it lives. A life that
   /// crashed does nothing more, and is to be removed.
