--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -24,7 +24,7 @@
   return tasks;
 }
 
-void CountDisplaced(const JobHistory& job, DisplacedCounts* counts) {
+void CountDisplaced(const JobHistory& job, PreemptionCounts* counts) {
   ++(*counts)[std::min(TimesDisplaced(job), counts->size() - 1)];
 }
 
--- a/src/cli/open_jobs.h
+++ b/src/cli/open_jobs.h
@@ -28,7 +28,7 @@
 /// Numbers of jobs, by how often their runs made way: never, once, twice, and
 /// three times or more. Runs of a job that are stopped in the same millisecond
 /// make way once.
-using DisplacedCounts = std::array<int, 4>;
+using PreemptionCounts = std::array<int, 4>;
 
 /// Open jobs of one queue and similar age.
 struct AgeBand {
@@ -37,7 +37,7 @@
   /// Of steps that began, as far as the logs tell.
   int tasks_not_done = 0;
   std::map<std::string, Duration> causes;
-  DisplacedCounts displaced = {};
+  PreemptionCounts displaced = {};
   /// By their time beyond work.
   TopJobs worst;
 };
@@ -49,7 +49,7 @@
   /// One for each of `kAgeBandsMs`.
   std::array<AgeBand, kAgeBandsMs.size()> ages;
   /// Of settled and open jobs.
-  DisplacedCounts displaced = {};
+  PreemptionCounts displaced = {};
   /// The longest time in which a job that was not over had no run.
   Duration longest_idle;
   std::string longest_idle_job;
--- a/src/cli/starvation_tables.cc
+++ b/src/cli/starvation_tables.cc
@@ -21,7 +21,7 @@
 // Causes of an age band that the text names; the JSON has them all.
 constexpr std::size_t kMostCauses = 4;
 
-Json::Value ToJson(const DisplacedCounts& counts) {
+Json::Value ToJson(const PreemptionCounts& counts) {
   Json::Value json(Json::arrayValue);
   for (const int jobs : counts) json.append(jobs);
   return json;
@@ -82,7 +82,7 @@
 }
 
 void PrintBand(const std::string& name, const AgeBand& band) {
-  const DisplacedCounts& displaced = band.displaced;
+  const PreemptionCounts& displaced = band.displaced;
   fmt::print("  {:<10} {:>5} {:>6}  {:>5} {:>4} {:>5} {:>8}  {}\n", name,
              band.jobs, band.tasks_not_done, displaced[0], displaced[1],
              displaced[2], displaced[3], JoinJobs(band.worst));
@@ -108,7 +108,7 @@
              "SETTLED", "OPEN", "NEVER", "ONCE", "TWICE", "3 TIMES+",
              "NO RUN S", "OF JOB", "QUEUE");
   for (const auto& [queue, standing] : standings) {
-    const DisplacedCounts& displaced = standing.displaced;
+    const PreemptionCounts& displaced = standing.displaced;
     fmt::print("  {:>7} {:>5}  {:>5} {:>4} {:>5} {:>8}  {:>9.1f}  {:<20} {}\n",
                standing.settled, standing.open, displaced[0], displaced[1],
                displaced[2], displaced[3], Seconds(standing.longest_idle),
