--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -198,8 +198,9 @@
   dispatch::RunnerInfo info;
   const int named = options_.keeps_ids ? 1 : incarnation;
   info.id = RunnerId(absl::StrCat("i-", index, "-", named));
-  info.start_time = dispatch::StartTime(
-      kWallStart + now_.ms() + options_.birth_step.ms() * (incarnation - 1));
+  info.start_time =
+      dispatch::StartTime(kWallStart + now_.ms() +
+                          options_.start_time_skew.ms() * (incarnation - 1));
   info.service = dispatch::ServiceId("compute");
   info.address = absl::StrCat("10.0.0.", index, ":80");
   info.room = options_.room;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -57,10 +57,10 @@
   Duration entry_lapse{4500};
   /// Runners that start again keep their ids. Their entries tell of the life
   /// before for `entry_lag`, as far as they stand, and births are off by
-  /// `birth_step` more for each life.
+  /// `start_time_skew` more for each life.
   bool keeps_ids = false;
   Duration entry_lag;
-  Duration birth_step;
+  Duration start_time_skew;
 };
 
 /// Faults that are on at the moment.
--- a/test/reborn-test.cc
+++ b/test/reborn-test.cc
@@ -108,7 +108,7 @@
 
 TEST(Reborn, ClockSetBackDoesNotMakeAnIncarnationAnEarlierOne) {
   SystemOptions options = OneRunnerThatKeepsItsId();
-  options.birth_step = Duration(-60000);
+  options.start_time_skew = Duration(-60000);
   EmulatedSystem back(options);
   back.Run(Duration(3000));
   for (int i = 0; i < 3; ++i) {
