--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -25,7 +25,7 @@
 }
 
 void CountDisplaced(const JobHistory& job, PreemptionCounts* counts) {
-  ++(*counts)[std::min(TimesDisplaced(job), counts->size() - 1)];
+  ++(*counts)[std::min(CountPreemptions(job), counts->size() - 1)];
 }
 
 AgeBand& BandOf(Duration age, QueueStanding* standing) {
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-std::size_t TimesDisplaced(const JobHistory& job) {
+std::size_t CountPreemptions(const JobHistory& job) {
   std::set<std::int64_t> moments;
   for (const auto& [key, runs] : job.tasks) {
     for (const LoggedRun& run : runs) {
--- a/src/cli/open_jobs.h
+++ b/src/cli/open_jobs.h
@@ -56,7 +56,7 @@
 };
 
 /// How often runs of the job made way. Safe from any thread.
-std::size_t TimesDisplaced(const JobHistory& job);
+std::size_t CountPreemptions(const JobHistory& job);
 
 /// The longest time without any run, from the job's acceptance to its end, or
 /// to `end_ms` if it is open. Zero if it was not accepted. Safe from any
