--- a/src/cli/report_command.cc
+++ b/src/cli/report_command.cc
@@ -65,7 +65,7 @@
   return json;
 }
 
-Json::Value ToJson(const std::map<std::string, DisplacingTotal>& displacing) {
+Json::Value ToJson(const std::map<std::string, PreemptionTotal>& displacing) {
   Json::Value json(Json::objectValue);
   for (const auto& [queue, total] : displacing) {
     Json::Value& row = json[queue];
@@ -148,7 +148,7 @@
   }
 }
 
-void PrintDisplacing(const std::map<std::string, DisplacingTotal>& displacing) {
+void PrintDisplacing(const std::map<std::string, PreemptionTotal>& displacing) {
   if (displacing.empty()) return;
   fmt::print("\nRuns that made way, by the queue that they made way for\n");
   fmt::print("  {:>5} {:>5} {:>6} {:>12} {:>12}  {}\n", "JOBS", "RUNS", "USED",
--- a/src/cli/work_report.h
+++ b/src/cli/work_report.h
@@ -45,7 +45,7 @@
 };
 
 /// Runs that made way for urgent jobs of one queue.
-struct DisplacingTotal {
+struct PreemptionTotal {
   int jobs = 0;
   int runs = 0;
   double accelerator_seconds = 0;
@@ -74,7 +74,7 @@
   std::map<std::string, GroupTotal> queues;
   std::map<std::string, GroupTotal> workspaces;
   std::map<RunFate, WasteTotal> waste;
-  std::map<std::string, DisplacingTotal> displacing;
+  std::map<std::string, PreemptionTotal> displacing;
   /// The worst first.
   std::vector<SecondTotal> worst_seconds;
   std::map<std::string, QueueStanding> standings;
