--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -190,7 +190,7 @@
       if (server == nullptr || !server->crashed_by().has_value()) continue;
       oracle_.NoteCrash(*server->crashed_by(), now);
       // Before any of them is gone, which ends members of its gangs elsewhere.
-      NoteCrashUnder(server.get());
+      RecordRunnerCrash(server.get());
       crashing.push_back(i);
     }
   }
@@ -204,12 +204,12 @@
   }
 }
 
-void SoakPlatform::NoteCrashUnder(standin::RunnerServer* server) {
+void SoakPlatform::RecordRunnerCrash(standin::RunnerServer* server) {
   std::vector<emulator::RunName> runs;
   server->AddRunning(&runs);
   std::vector<dispatch::TaskName> names;
   for (const emulator::RunName& run : runs) names.push_back(run.task);
-  oracle_.NoteCrashUnder(names);
+  oracle_.RecordRunnerCrash(names);
 }
 
 std::string SoakPlatform::EncodeConfig(std::int64_t version) const {
@@ -261,7 +261,7 @@
   // crashed are noted already.
   const bool crashes =
       !place.server->draining() && !place.server->crashed_by().has_value();
-  if (crashes) NoteCrashUnder(place.server.get());
+  if (crashes) RecordRunnerCrash(place.server.get());
   place.server = nullptr;
 }
 
--- a/soak/soak_platform.h
+++ b/soak/soak_platform.h
@@ -145,7 +145,7 @@
   void TendCrashed();
   /// Notes what ran on a runner that crashes. Precondition: the shed's lock is
   /// held.
-  void NoteCrashUnder(standin::RunnerServer* server);
+  void RecordRunnerCrash(standin::RunnerServer* server);
   std::string EncodeConfig(std::int64_t version) const;
 
   bool checks_times_;
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -241,7 +241,7 @@
     found->ForEachRun(
         [&tasks](const TaskName& name, int) { tasks.push_back(name); });
   }
-  oracle_.NoteCrashUnder(tasks);
+  oracle_.RecordRunnerCrash(tasks);
   RemoveRunner(runner, down);
 }
 
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -83,7 +83,7 @@
   if (!watch->first_crash.has_value()) watch->first_crash = now;
 }
 
-void PromiseOracle::NoteCrashUnder(const std::vector<TaskName>& tasks) {
+void PromiseOracle::RecordRunnerCrash(const std::vector<TaskName>& tasks) {
   for (const TaskName& task : tasks) {
     JobWatch* watch = Find(task.job);
     if (watch != nullptr) ++watch->crashed_under[task];
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -92,7 +92,7 @@
   /// Such starts.
   int foreign_starts() const { return static_cast<int>(foreign_.size()); }
   /// A runner crashed on which those tasks ran.
-  void NoteCrashUnder(const std::vector<dispatch::TaskName>& tasks);
+  void RecordRunnerCrash(const std::vector<dispatch::TaskName>& tasks);
   /// The task crashed a runner.
   void NoteCrash(const dispatch::TaskName& task, TimePoint now);
   /// A runner answered a look. `stands`: the runner's lease has not run out
