--- a/src/cli/report_command.cc
+++ b/src/cli/report_command.cc
@@ -65,9 +65,9 @@
   return json;
 }
 
-Json::Value ToJson(const std::map<std::string, PreemptionTotal>& displacing) {
+Json::Value ToJson(const std::map<std::string, PreemptionTotal>& preemptions) {
   Json::Value json(Json::objectValue);
-  for (const auto& [queue, total] : displacing) {
+  for (const auto& [queue, total] : preemptions) {
     Json::Value& row = json[queue];
     row["jobs"] = total.jobs;
     row["runs"] = total.runs;
@@ -102,7 +102,7 @@
   json["queues"] = ToJson(report.queues);
   json["workspaces"] = ToJson(report.workspaces);
   json["thrown_away"] = ToJson(report.waste);
-  json["displacing"] = ToJson(report.displacing);
+  json["displacing"] = ToJson(report.preemptions);
   json["worst_seconds"] = ToJson(report.worst_seconds);
   json["standings"] = limeledge::ToJson(report.standings);
   json["accelerator_use"] = limeledge::ToJson(report.use);
@@ -148,12 +148,13 @@
   }
 }
 
-void PrintDisplacing(const std::map<std::string, PreemptionTotal>& displacing) {
-  if (displacing.empty()) return;
+void PrintDisplacing(
+    const std::map<std::string, PreemptionTotal>& preemptions) {
+  if (preemptions.empty()) return;
   fmt::print("\nRuns that made way, by the queue that they made way for\n");
   fmt::print("  {:>5} {:>5} {:>6} {:>12} {:>12}  {}\n", "JOBS", "RUNS", "USED",
              "ACCEL. S", "MEAN WAIT S", "QUEUE");
-  for (const auto& [queue, total] : displacing) {
+  for (const auto& [queue, total] : preemptions) {
     const double wait =
         total.waits == 0 ? 0 : Seconds(total.wait) / total.waits;
     fmt::print("  {:>5} {:>5} {:>6} {:>12.0f} {:>12.2f}  {}\n", total.jobs,
@@ -179,7 +180,7 @@
   PrintGroups("Queue", report.queues);
   PrintGroups("Workspace", report.workspaces);
   PrintWaste(report.waste);
-  PrintDisplacing(report.displacing);
+  PrintDisplacing(report.preemptions);
   PrintSeconds(report.worst_seconds);
   PrintStandings(report.standings);
   PrintUse(report.use);
--- a/src/cli/work_report.cc
+++ b/src/cli/work_report.cc
@@ -142,7 +142,7 @@
     const auto found = histories.jobs.find(id);
     if (found == histories.jobs.end()) continue;
     const JobHistory& job = found->second;
-    PreemptionTotal& total = report->displacing[GroupName(job.queue)];
+    PreemptionTotal& total = report->preemptions[GroupName(job.queue)];
     ++total.jobs;
     std::int64_t first_ms = runs.front()->ended_ms;
     for (const LoggedRun* run : runs) {
--- a/src/cli/work_report.h
+++ b/src/cli/work_report.h
@@ -74,7 +74,7 @@
   std::map<std::string, GroupTotal> queues;
   std::map<std::string, GroupTotal> workspaces;
   std::map<RunFate, WasteTotal> waste;
-  std::map<std::string, PreemptionTotal> displacing;
+  std::map<std::string, PreemptionTotal> preemptions;
   /// The worst first.
   std::vector<SecondTotal> worst_seconds;
   std::map<std::string, QueueStanding> standings;
--- a/test/work-report-test.cc
+++ b/test/work-report-test.cc
@@ -190,7 +190,7 @@
   End(2000, "aa.0.0.1", 1, "stopped");
   Assign(2100, "bb.0.0.0", 1, "i-1");
   const WorkReport report = MakeWorkReport(lines, 10);
-  const PreemptionTotal& check = report.displacing.at("check");
+  const PreemptionTotal& check = report.preemptions.at("check");
   LONGS_EQUAL(1, check.jobs);
   LONGS_EQUAL(2, check.runs);
   LONGS_EQUAL(1, check.used_runs);
