--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -188,7 +188,7 @@
     for (int i = 0; i < runners(); ++i) {
       const auto& server = places_[i]->server;
       if (server == nullptr || !server->crashed_by().has_value()) continue;
-      oracle_.NoteCrash(*server->crashed_by(), now);
+      oracle_.RecordCrashCause(*server->crashed_by(), now);
       // Before any of them is gone, which ends members of its gangs elsewhere.
       RecordRunnerCrash(server.get());
       crashing.push_back(i);
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -269,7 +269,7 @@
   Trace(absl::StrCat("crash of ", id.value(), " by ", ToString(culprit)));
   ++crashes_.crashes;
   crashes_.bystanders_work += runner.UnsavedWorkBeside(culprit);
-  oracle_.NoteCrash(culprit, now_);
+  oracle_.RecordCrashCause(culprit, now_);
   CrashRunner(id, options_.crash_down);
 }
 
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -76,7 +76,7 @@
   CheckOrder(*watch, order.task);
 }
 
-void PromiseOracle::NoteCrash(const TaskName& task, TimePoint now) {
+void PromiseOracle::RecordCrashCause(const TaskName& task, TimePoint now) {
   JobWatch* watch = Find(task.job);
   if (watch == nullptr) return;
   ++watch->crashes[task];
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -94,7 +94,7 @@
   /// A runner crashed on which those tasks ran.
   void RecordRunnerCrash(const std::vector<dispatch::TaskName>& tasks);
   /// The task crashed a runner.
-  void NoteCrash(const dispatch::TaskName& task, TimePoint now);
+  void RecordCrashCause(const dispatch::TaskName& task, TimePoint now);
   /// A runner answered a look. `stands`: the runner's lease has not run out
   /// since it listed the end of that number.
   void NotePoll(const dispatch::PollRunner& poll,
