--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -28,7 +28,7 @@
   ++(*counts)[std::min(CountPreemptions(job), counts->size() - 1)];
 }
 
-AgeBand& BandOf(Duration age, QueueStanding* standing) {
+AgeBand& BandOf(Duration age, QueueSummary* standing) {
   std::size_t band = kAgeBandsMs.size() - 1;
   while (band > 0 && age < Duration(kAgeBandsMs[band])) --band;
   return standing->ages[band];
@@ -36,7 +36,7 @@
 
 void AddOpenJob(const JobHistory& job,
                 const std::vector<LeadershipTerm>& leadership_terms,
-                std::int64_t end_ms, QueueStanding* standing) {
+                std::int64_t end_ms, QueueSummary* standing) {
   AgeBand& band = BandOf(Duration(end_ms - job.first_submit_ms), standing);
   ++standing->open;
   ++band.jobs;
@@ -52,15 +52,15 @@
 }
 
 void AddIdle(const JobHistory& job, std::int64_t end_ms,
-             QueueStanding* standing) {
+             QueueSummary* standing) {
   const Duration idle = LongestIdle(job, end_ms);
   if (idle <= standing->longest_idle) return;
   standing->longest_idle = idle;
   standing->longest_idle_job = job.id;
 }
 
-QueueStanding EmptyStanding() {
-  QueueStanding standing;
+QueueSummary EmptyStanding() {
+  QueueSummary standing;
   for (std::size_t band = 0; band < kAgeBandsMs.size(); ++band) {
     standing.ages[band].from = Duration(kAgeBandsMs[band]);
   }
@@ -100,13 +100,13 @@
   return Duration(longest_ms);
 }
 
-std::map<std::string, QueueStanding> MakeStandings(const Histories& histories,
-                                                   std::int64_t end_ms) {
-  std::map<std::string, QueueStanding> standings;
+std::map<std::string, QueueSummary> MakeStandings(const Histories& histories,
+                                                  std::int64_t end_ms) {
+  std::map<std::string, QueueSummary> standings;
   for (const auto& [id, job] : histories.jobs) {
     const bool counts = job.accepted_ms != 0 && job.state != kStateCancelled;
     if (!counts) continue;
-    QueueStanding& standing =
+    QueueSummary& standing =
         standings.try_emplace(GroupName(job.queue), EmptyStanding())
             .first->second;
     if (job.settled_ms == 0) {
--- a/src/cli/open_jobs.h
+++ b/src/cli/open_jobs.h
@@ -43,7 +43,7 @@
 };
 
 /// All jobs of one queue, without those that were cancelled.
-struct QueueStanding {
+struct QueueSummary {
   int settled = 0;
   int open = 0;
   /// One for each of `kAgeBandsMs`.
@@ -65,8 +65,8 @@
 
 /// Sums up settled and open jobs by queue. `end_ms`: the last line's wall time.
 /// Safe from any thread.
-std::map<std::string, QueueStanding> MakeStandings(const Histories& histories,
-                                                   std::int64_t end_ms);
+std::map<std::string, QueueSummary> MakeStandings(const Histories& histories,
+                                                  std::int64_t end_ms);
 
 }  // namespace limeledge
 
--- a/src/cli/starvation_tables.cc
+++ b/src/cli/starvation_tables.cc
@@ -48,7 +48,7 @@
   return json;
 }
 
-Json::Value ToJson(const QueueStanding& standing) {
+Json::Value ToJson(const QueueSummary& standing) {
   Json::Value json;
   json["settled_jobs"] = standing.settled;
   json["open_jobs"] = standing.open;
@@ -63,7 +63,7 @@
 }
 
 /// Such as "5 to 10 s".
-std::string NameOfBand(const QueueStanding& standing, std::size_t band) {
+std::string NameOfBand(const QueueSummary& standing, std::size_t band) {
   const double from = Seconds(standing.ages[band].from);
   if (band + 1 == standing.ages.size()) return fmt::format("over {} s", from);
   const double to = Seconds(standing.ages[band + 1].from);
@@ -91,7 +91,7 @@
   }
 }
 
-void PrintOpenJobs(const std::string& queue, const QueueStanding& standing) {
+void PrintOpenJobs(const std::string& queue, const QueueSummary& standing) {
   if (standing.open == 0) return;
   fmt::print("\nOpen jobs of queue {}, by age\n", queue);
   fmt::print("  {:<10} {:>5} {:>6}  {:>5} {:>4} {:>5} {:>8}  {}\n", "AGE",
@@ -102,7 +102,7 @@
   }
 }
 
-void PrintQueues(const std::map<std::string, QueueStanding>& standings) {
+void PrintQueues(const std::map<std::string, QueueSummary>& standings) {
   fmt::print("\nJobs by how often their runs made way, and the longest wait\n");
   fmt::print("  {:>7} {:>5}  {:>5} {:>4} {:>5} {:>8}  {:>9}  {:<20} {}\n",
              "SETTLED", "OPEN", "NEVER", "ONCE", "TWICE", "3 TIMES+",
@@ -146,7 +146,7 @@
 
 }  // namespace
 
-Json::Value ToJson(const std::map<std::string, QueueStanding>& standings) {
+Json::Value ToJson(const std::map<std::string, QueueSummary>& standings) {
   Json::Value json(Json::objectValue);
   for (const auto& [queue, standing] : standings) {
     json[queue] = ToJson(standing);
@@ -172,7 +172,7 @@
   return json;
 }
 
-void PrintStandings(const std::map<std::string, QueueStanding>& standings) {
+void PrintStandings(const std::map<std::string, QueueSummary>& standings) {
   if (standings.empty()) return;
   PrintQueues(standings);
   for (const auto& [queue, standing] : standings) {
--- a/src/cli/starvation_tables.h
+++ b/src/cli/starvation_tables.h
@@ -18,14 +18,14 @@
 namespace limeledge {
 
 /// By queue. Safe from any thread.
-Json::Value ToJson(const std::map<std::string, QueueStanding>& standings);
+Json::Value ToJson(const std::map<std::string, QueueSummary>& standings);
 
 /// In order of time. Safe from any thread.
 Json::Value ToJson(const std::vector<UseSlot>& use);
 
 /// Prints how each queue stands, and its open jobs by age. Not to be called
 /// while others print.
-void PrintStandings(const std::map<std::string, QueueStanding>& standings);
+void PrintStandings(const std::map<std::string, QueueSummary>& standings);
 
 /// Prints the use of accelerators by slot. Not to be called while others print.
 void PrintUse(const std::vector<UseSlot>& use);
--- a/test/open-jobs-test.cc
+++ b/test/open-jobs-test.cc
@@ -19,13 +19,13 @@
 // What the queue's standing tells of its jobs.
 class OpenJobsFixture : public LogLinesFixture {
  public:
-  QueueStanding Standing() {
+  QueueSummary Standing() {
     return MakeWorkReport(lines, 10).standings["sweep"];
   }
 
   /// The only band with jobs.
   AgeBand Band() {
-    const QueueStanding standing = Standing();
+    const QueueSummary standing = Standing();
     for (const AgeBand& band : standing.ages) {
       if (band.jobs > 0) return band;
     }
@@ -62,7 +62,7 @@
   Submit(36000, "cc", "sweep", "roads");
   Submit(36001, "dd", "sweep", "roads");
   EndLogs(41000);
-  const QueueStanding standing = Standing();
+  const QueueSummary standing = Standing();
   LONGS_EQUAL(1, standing.ages[0].jobs);
   LONGS_EQUAL(1, standing.ages[1].jobs);
   LONGS_EQUAL(1, standing.ages[2].jobs);
