--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -100,8 +100,8 @@
   return Duration(longest_ms);
 }
 
-std::map<std::string, QueueSummary> MakeStandings(const Histories& histories,
-                                                  std::int64_t end_ms) {
+std::map<std::string, QueueSummary> SummarizeQueues(const Histories& histories,
+                                                    std::int64_t end_ms) {
   std::map<std::string, QueueSummary> standings;
   for (const auto& [id, job] : histories.jobs) {
     const bool counts = job.accepted_ms != 0 && job.state != kStateCancelled;
--- a/src/cli/open_jobs.h
+++ b/src/cli/open_jobs.h
@@ -65,8 +65,8 @@
 
 /// Sums up settled and open jobs by queue. `end_ms`: the last line's wall time.
 /// Safe from any thread.
-std::map<std::string, QueueSummary> MakeStandings(const Histories& histories,
-                                                  std::int64_t end_ms);
+std::map<std::string, QueueSummary> SummarizeQueues(const Histories& histories,
+                                                    std::int64_t end_ms);
 
 }  // namespace limeledge
 
