--- a/soak/cancel_watch.cc
+++ b/soak/cancel_watch.cc
@@ -39,7 +39,7 @@
   if (first) ++times_.acknowledged;
 }
 
-void CancelWatch::NoteStart(const RunPlace& place, int run, TimePoint at) {
+void CancelWatch::RecordStart(const RunPlace& place, int run, TimePoint at) {
   StartedRun& started = started_[place];
   if (started.run >= run) return;
   started = {run, at};
--- a/soak/cancel_watch.h
+++ b/soak/cancel_watch.h
@@ -59,7 +59,7 @@
   /// A caller was told that the job is cancelled. Only the first time counts.
   void RecordCancellation(const JobId& job, TimePoint at);
   /// A runner carried an order out to begin this run, or has it already.
-  void NoteStart(const RunPlace& place, int run, TimePoint at);
+  void RecordStart(const RunPlace& place, int run, TimePoint at);
   /// All that runs at this time. Times do not go back.
   void NoteRunning(const std::vector<RunPlace>& running, TimePoint now);
 
--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -367,8 +367,8 @@
                            const dispatch::StartRun& order) {
   ++starts_;
   const TimePoint now = clock_.Now();
-  oracle_.NoteStart(order);
-  cancels_.NoteStart({runner.info().id, order.task}, order.run, now);
+  oracle_.RecordStart(order);
+  cancels_.RecordStart({runner.info().id, order.task}, order.run, now);
   first_starts_.emplace(order.task.job, now);
   start_times_.push_back(now);
   // Runners come and go under the shed's lock, which is held here.
--- a/src/emulator/emulated_oracle.cc
+++ b/src/emulator/emulated_oracle.cc
@@ -130,7 +130,7 @@
   const bool foreign =
       order.target.incarnation != runner.info().incarnation() && nobody_knows;
   if (foreign) oracle_.NoteForeignStart({order.task, order.run});
-  oracle_.NoteStart(order);
+  oracle_.RecordStart(order);
   CheckRoom(runner, order, sent_at);
   CheckHall(runner, order);
   const RunName run{order.task, order.run};
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -54,7 +54,7 @@
   return truth;
 }
 
-void PromiseOracle::NoteStart(const dispatch::StartRun& order) {
+void PromiseOracle::RecordStart(const dispatch::StartRun& order) {
   const std::string task = ToString(order.task);
   JobWatch* watch = Find(order.task.job);
   if (watch == nullptr) {
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -84,10 +84,10 @@
   TaskTruth TruthOf(const dispatch::TaskName& name) const;
 
   /// A runner carried a start out.
-  void NoteStart(const dispatch::StartRun& order);
+  void RecordStart(const dispatch::StartRun& order);
   /// A life of a runner carries a start out that was sent to the life before,
   /// when nobody could have told it not to yet: nothing can prevent that, so
-  /// that this run breaks no promise. Call it before `NoteStart`.
+  /// that this run breaks no promise. Call it before `RecordStart`.
   void NoteForeignStart(const RunName& run) { foreign_.insert(run); }
   /// Such starts.
   int foreign_starts() const { return static_cast<int>(foreign_.size()); }
--- a/test/cancel-watch-test.cc
+++ b/test/cancel-watch-test.cc
@@ -32,7 +32,7 @@
   const RunPlace place{RunnerId("i-1-1"), {JobId("abc"), 0, 0, 0}};
 
   void Cancel() { watch.RecordCancellation(JobId("abc"), kCancelled); }
-  void StartAt(TimePoint at, int run = 1) { watch.NoteStart(place, run, at); }
+  void StartAt(TimePoint at, int run = 1) { watch.RecordStart(place, run, at); }
   void SeeRunAt(TimePoint at) { watch.NoteRunning({place}, at); }
   void SeeNothingAt(TimePoint at) { watch.NoteRunning({}, at); }
 };
--- a/test/promise-oracle-test.cc
+++ b/test/promise-oracle-test.cc
@@ -36,7 +36,7 @@
     dispatch::StartRun order;
     order.task = task;
     order.run = run;
-    oracle.NoteStart(order);
+    oracle.RecordStart(order);
   }
 
   /// The runner lists an end, and is told that ends up to `known` are known.
