--- a/src/cli/report_command.cc
+++ b/src/cli/report_command.cc
@@ -182,7 +182,7 @@
   PrintWaste(report.waste);
   PrintDisplacing(report.preemptions);
   PrintSeconds(report.worst_seconds);
-  PrintStandings(report.standings);
+  PrintQueueSummaries(report.standings);
   PrintUse(report.use);
 }
 
--- a/src/cli/starvation_tables.cc
+++ b/src/cli/starvation_tables.cc
@@ -172,7 +172,7 @@
   return json;
 }
 
-void PrintStandings(const std::map<std::string, QueueSummary>& standings) {
+void PrintQueueSummaries(const std::map<std::string, QueueSummary>& standings) {
   if (standings.empty()) return;
   PrintQueues(standings);
   for (const auto& [queue, standing] : standings) {
--- a/src/cli/starvation_tables.h
+++ b/src/cli/starvation_tables.h
@@ -25,7 +25,7 @@
 
 /// Prints how each queue stands, and its open jobs by age. Not to be called
 /// while others print.
-void PrintStandings(const std::map<std::string, QueueSummary>& standings);
+void PrintQueueSummaries(const std::map<std::string, QueueSummary>& standings);
 
 /// Prints the use of accelerators by slot. Not to be called while others print.
 void PrintUse(const std::vector<UseSlot>& use);
