--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -395,7 +395,7 @@
 void SoakPlatform::OnPoll(const emulator::EmulatedRunner& runner,
                           const dispatch::PollRunner& poll,
                           const dispatch::RunnerPolled& answer) {
-  oracle_.NotePoll(poll, answer, [&](std::int64_t end) {
+  oracle_.RecordPoll(poll, answer, [&](std::int64_t end) {
     const bool same_life = runner.info().id == poll.target.incarnation.runner;
     return same_life && !runner.LeaseExpiredSince(end);
   });
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -83,13 +83,13 @@
   // back: what that life forgets by it breaks no promise.
   if (poll.target.incarnation != runner->info().incarnation()) return;
   oracle_.RecordUnreportedEnds(unread);
-  NotePoll(poll, answer, *runner);
+  RecordPoll(poll, answer, *runner);
 }
 
-void EmulatedSystem::NotePoll(const dispatch::PollRunner& poll,
-                              const dispatch::RunnerPolled& answer,
-                              const EmulatedRunner& runner) {
-  oracle_.NotePoll(poll, answer, [&](std::int64_t end) {
+void EmulatedSystem::RecordPoll(const dispatch::PollRunner& poll,
+                                const dispatch::RunnerPolled& answer,
+                                const EmulatedRunner& runner) {
+  oracle_.RecordPoll(poll, answer, [&](std::int64_t end) {
     const bool same_runner = runner.info().id == poll.target.incarnation.runner;
     return same_runner && !runner.LeaseExpiredSince(end);
   });
@@ -139,7 +139,7 @@
     });
     return;
   }
-  NotePoll(poll, answer, *runner);
+  RecordPoll(poll, answer, *runner);
   At(now_ + options_.network,
      [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
 }
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -281,9 +281,9 @@
   /// A look that got no answer comes to whatever runner is there by now.
   void CarryOutLate(const dispatch::PollRunner& poll);
   /// Tells the oracle of a look that a runner answered.
-  void NotePoll(const dispatch::PollRunner& poll,
-                const dispatch::RunnerPolled& answer,
-                const EmulatedRunner& runner);
+  void RecordPoll(const dispatch::PollRunner& poll,
+                  const dispatch::RunnerPolled& answer,
+                  const EmulatedRunner& runner);
   /// How late an order without an answer is carried out.
   Duration LateBy();
   /// Has a runner carry an order out that was sent at a moment.
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -162,9 +162,9 @@
   }
 }
 
-void PromiseOracle::NotePoll(const dispatch::PollRunner& poll,
-                             const dispatch::RunnerPolled& answer,
-                             const std::function<bool(std::int64_t)>& stands) {
+void PromiseOracle::RecordPoll(
+    const dispatch::PollRunner& poll, const dispatch::RunnerPolled& answer,
+    const std::function<bool(std::int64_t)>& stands) {
   auto& listed = listed_[{poll.target.incarnation.runner, answer.start_time}];
   // What the look tells as known is taken note of.
   while (!listed.empty() && listed.begin()->first <= poll.acknowledged_end) {
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -97,9 +97,9 @@
   void RecordCrashCause(const dispatch::TaskName& task, TimePoint now);
   /// A runner answered a look. `stands`: the runner's lease has not run out
   /// since it listed the end of that number.
-  void NotePoll(const dispatch::PollRunner& poll,
-                const dispatch::RunnerPolled& answer,
-                const std::function<bool(std::int64_t)>& stands);
+  void RecordPoll(const dispatch::PollRunner& poll,
+                  const dispatch::RunnerPolled& answer,
+                  const std::function<bool(std::int64_t)>& stands);
   /// A life of a runner was told that those ends are known, though it never
   /// listed them: it has forgotten what nobody read.
   void RecordUnreportedEnds(const std::vector<dispatch::ReportedEnd>& ends);
--- a/test/promise-oracle-test.cc
+++ b/test/promise-oracle-test.cc
@@ -47,7 +47,7 @@
     poll.acknowledged_end = known;
     dispatch::RunnerPolled answer;
     answer.ended = ends;
-    oracle.NotePoll(poll, answer, [stands](std::int64_t) { return stands; });
+    oracle.RecordPoll(poll, answer, [stands](std::int64_t) { return stands; });
   }
 
   /// The first task's run goes on at a moment; returns what was broken so far.
