--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -102,12 +102,12 @@
 
 std::map<std::string, QueueSummary> SummarizeQueues(const Histories& histories,
                                                     std::int64_t end_ms) {
-  std::map<std::string, QueueSummary> standings;
+  std::map<std::string, QueueSummary> queue_summaries;
   for (const auto& [id, job] : histories.jobs) {
     const bool counts = job.accepted_ms != 0 && job.state != kStateCancelled;
     if (!counts) continue;
     QueueSummary& standing =
-        standings.try_emplace(GroupName(job.queue), EmptyStanding())
+        queue_summaries.try_emplace(GroupName(job.queue), EmptyStanding())
             .first->second;
     if (job.settled_ms == 0) {
       AddOpenJob(job, histories.leadership_terms, end_ms, &standing);
@@ -117,7 +117,7 @@
     CountDisplaced(job, &standing.displaced);
     AddIdle(job, end_ms, &standing);
   }
-  return standings;
+  return queue_summaries;
 }
 
 }  // namespace limeledge
--- a/src/cli/report_command.cc
+++ b/src/cli/report_command.cc
@@ -104,7 +104,7 @@
   json["thrown_away"] = ToJson(report.waste);
   json["displacing"] = ToJson(report.preemptions);
   json["worst_seconds"] = ToJson(report.worst_seconds);
-  json["standings"] = limeledge::ToJson(report.standings);
+  json["standings"] = limeledge::ToJson(report.queue_summaries);
   json["accelerator_use"] = limeledge::ToJson(report.use);
   return json;
 }
@@ -182,7 +182,7 @@
   PrintWaste(report.waste);
   PrintDisplacing(report.preemptions);
   PrintSeconds(report.worst_seconds);
-  PrintQueueSummaries(report.standings);
+  PrintQueueSummaries(report.queue_summaries);
   PrintUse(report.use);
 }
 
--- a/src/cli/starvation_tables.cc
+++ b/src/cli/starvation_tables.cc
@@ -102,12 +102,12 @@
   }
 }
 
-void PrintQueues(const std::map<std::string, QueueSummary>& standings) {
+void PrintQueues(const std::map<std::string, QueueSummary>& queue_summaries) {
   fmt::print("\nJobs by how often their runs made way, and the longest wait\n");
   fmt::print("  {:>7} {:>5}  {:>5} {:>4} {:>5} {:>8}  {:>9}  {:<20} {}\n",
              "SETTLED", "OPEN", "NEVER", "ONCE", "TWICE", "3 TIMES+",
              "NO RUN S", "OF JOB", "QUEUE");
-  for (const auto& [queue, standing] : standings) {
+  for (const auto& [queue, standing] : queue_summaries) {
     const PreemptionCounts& displaced = standing.displaced;
     fmt::print("  {:>7} {:>5}  {:>5} {:>4} {:>5} {:>8}  {:>9.1f}  {:<20} {}\n",
                standing.settled, standing.open, displaced[0], displaced[1],
@@ -146,9 +146,9 @@
 
 }  // namespace
 
-Json::Value ToJson(const std::map<std::string, QueueSummary>& standings) {
+Json::Value ToJson(const std::map<std::string, QueueSummary>& queue_summaries) {
   Json::Value json(Json::objectValue);
-  for (const auto& [queue, standing] : standings) {
+  for (const auto& [queue, standing] : queue_summaries) {
     json[queue] = ToJson(standing);
   }
   return json;
@@ -172,10 +172,11 @@
   return json;
 }
 
-void PrintQueueSummaries(const std::map<std::string, QueueSummary>& standings) {
-  if (standings.empty()) return;
-  PrintQueues(standings);
-  for (const auto& [queue, standing] : standings) {
+void PrintQueueSummaries(
+    const std::map<std::string, QueueSummary>& queue_summaries) {
+  if (queue_summaries.empty()) return;
+  PrintQueues(queue_summaries);
+  for (const auto& [queue, standing] : queue_summaries) {
     PrintOpenJobs(queue, standing);
   }
 }
--- a/src/cli/starvation_tables.h
+++ b/src/cli/starvation_tables.h
@@ -18,14 +18,15 @@
 namespace limeledge {
 
 /// By queue. Safe from any thread.
-Json::Value ToJson(const std::map<std::string, QueueSummary>& standings);
+Json::Value ToJson(const std::map<std::string, QueueSummary>& queue_summaries);
 
 /// In order of time. Safe from any thread.
 Json::Value ToJson(const std::vector<UseSlot>& use);
 
 /// Prints how each queue stands, and its open jobs by age. Not to be called
 /// while others print.
-void PrintQueueSummaries(const std::map<std::string, QueueSummary>& standings);
+void PrintQueueSummaries(
+    const std::map<std::string, QueueSummary>& queue_summaries);
 
 /// Prints the use of accelerators by slot. Not to be called while others print.
 void PrintUse(const std::vector<UseSlot>& use);
--- a/src/cli/work_report.cc
+++ b/src/cli/work_report.cc
@@ -189,7 +189,7 @@
   }
   AddDisplacing(histories, &report);
   report.worst_seconds = WorstOf(seconds, most_seconds);
-  report.standings = SummarizeQueues(histories, entries.back().wall_ms);
+  report.queue_summaries = SummarizeQueues(histories, entries.back().wall_ms);
   report.use = MakeAcceleratorUse(entries, histories, slot);
   return report;
 }
--- a/src/cli/work_report.h
+++ b/src/cli/work_report.h
@@ -77,7 +77,7 @@
   std::map<std::string, PreemptionTotal> preemptions;
   /// The worst first.
   std::vector<SecondTotal> worst_seconds;
-  std::map<std::string, QueueSummary> standings;
+  std::map<std::string, QueueSummary> queue_summaries;
   std::vector<UseSlot> use;
 };
 
--- a/test/open-jobs-test.cc
+++ b/test/open-jobs-test.cc
@@ -20,7 +20,7 @@
 class OpenJobsFixture : public LogLinesFixture {
  public:
   QueueSummary Standing() {
-    return MakeWorkReport(lines, 10).standings["sweep"];
+    return MakeWorkReport(lines, 10).queue_summaries["sweep"];
   }
 
   /// The only band with jobs.
@@ -54,7 +54,7 @@
 TEST(OpenJobs, CancelledJobIsNotCounted) {
   Settle(3000, "aa", "cancelled");
   EndLogs(4000);
-  LONGS_EQUAL(0, MakeWorkReport(lines, 10).standings.size());
+  LONGS_EQUAL(0, MakeWorkReport(lines, 10).queue_summaries.size());
 }
 
 TEST(OpenJobs, JobIsInTheBandOfItsAgeAtTheLastLine) {
