--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -312,7 +312,7 @@
   room.accelerators = room.accelerators * parts / kWholeRoom;
   {
     const std::lock_guard<std::mutex> shed(shed_.mutex);
-    rooms_.NoteChange(place.server->id(), place.server->room(), clock_.Now());
+    rooms_.RecordChange(place.server->id(), place.server->room(), clock_.Now());
   }
   place.server->SetCapacity(room);
   store_.Put("servers", place.server->id().value(), place.server->Entry());
--- a/src/emulator/capacity_history.h
+++ b/src/emulator/capacity_history.h
@@ -26,8 +26,8 @@
   explicit CapacityHistory(Duration notice) : notice_(notice) {}
 
   /// The runner's room changes from `before`.
-  void NoteChange(const RunnerId& runner, const dispatch::Resources& before,
-                  TimePoint now) {
+  void RecordChange(const RunnerId& runner, const dispatch::Resources& before,
+                    TimePoint now) {
     earlier_[runner].emplace_back(before, now + notice_);
   }
   /// True if a start that was sent at that moment may fill the runner so far.
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -298,7 +298,7 @@
                                  const dispatch::Resources& room) {
   EmulatedRunner* found = FindRunner(runner);
   if (found == nullptr) return;
-  rooms_.NoteChange(runner, found->info().room, now_);
+  rooms_.RecordChange(runner, found->info().room, now_);
   found->info().room = room;
 }
 
