--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -41,7 +41,7 @@
   ++standing->open;
   ++band.jobs;
   band.tasks_not_done += TasksNotDone(job);
-  CountDisplaced(job, &band.displaced);
+  CountDisplaced(job, &band.preemption_counts);
   Duration lost;
   for (const Delay& delay : DelaysUntil(job, leadership_terms, end_ms)) {
     Duration& length = band.causes[delay.cause];
@@ -114,7 +114,7 @@
     } else {
       ++standing.settled;
     }
-    CountDisplaced(job, &standing.displaced);
+    CountDisplaced(job, &standing.preemption_counts);
     AddIdle(job, end_ms, &standing);
   }
   return queue_summaries;
--- a/src/cli/open_jobs.h
+++ b/src/cli/open_jobs.h
@@ -37,7 +37,7 @@
   /// Of steps that began, as far as the logs tell.
   int tasks_not_done = 0;
   std::map<std::string, Duration> causes;
-  PreemptionCounts displaced = {};
+  PreemptionCounts preemption_counts = {};
   /// By their time beyond work.
   TopJobs worst;
 };
@@ -49,7 +49,7 @@
   /// One for each of `kAgeBandsMs`.
   std::array<AgeBand, kAgeBandsMs.size()> ages;
   /// Of settled and open jobs.
-  PreemptionCounts displaced = {};
+  PreemptionCounts preemption_counts = {};
   /// The longest time in which a job that was not over had no run.
   Duration longest_idle;
   std::string longest_idle_job;
--- a/src/cli/starvation_tables.cc
+++ b/src/cli/starvation_tables.cc
@@ -43,7 +43,7 @@
   for (const auto& [cause, length] : band.causes) {
     json["seconds_by_cause"][cause] = Seconds(length);
   }
-  json["jobs_by_times_displaced"] = ToJson(band.displaced);
+  json["jobs_by_times_displaced"] = ToJson(band.preemption_counts);
   json["worst"] = limeledge::ToJson(band.worst);
   return json;
 }
@@ -52,7 +52,7 @@
   Json::Value json;
   json["settled_jobs"] = standing.settled;
   json["open_jobs"] = standing.open;
-  json["jobs_by_times_displaced"] = ToJson(standing.displaced);
+  json["jobs_by_times_displaced"] = ToJson(standing.preemption_counts);
   json["longest_idle_seconds"] = Seconds(standing.longest_idle);
   json["longest_idle_job"] = standing.longest_idle_job;
   json["open_by_age"] = Json::Value(Json::arrayValue);
@@ -82,10 +82,11 @@
 }
 
 void PrintBand(const std::string& name, const AgeBand& band) {
-  const PreemptionCounts& displaced = band.displaced;
+  const PreemptionCounts& preemption_counts = band.preemption_counts;
   fmt::print("  {:<10} {:>5} {:>6}  {:>5} {:>4} {:>5} {:>8}  {}\n", name,
-             band.jobs, band.tasks_not_done, displaced[0], displaced[1],
-             displaced[2], displaced[3], JoinJobs(band.worst));
+             band.jobs, band.tasks_not_done, preemption_counts[0],
+             preemption_counts[1], preemption_counts[2], preemption_counts[3],
+             JoinJobs(band.worst));
   for (const auto& [cause, length] : MainCauses(band)) {
     fmt::print("  {:>22.1f} s  {}\n", Seconds(length), cause);
   }
@@ -108,11 +109,12 @@
              "SETTLED", "OPEN", "NEVER", "ONCE", "TWICE", "3 TIMES+",
              "NO RUN S", "OF JOB", "QUEUE");
   for (const auto& [queue, standing] : queue_summaries) {
-    const PreemptionCounts& displaced = standing.displaced;
+    const PreemptionCounts& preemption_counts = standing.preemption_counts;
     fmt::print("  {:>7} {:>5}  {:>5} {:>4} {:>5} {:>8}  {:>9.1f}  {:<20} {}\n",
-               standing.settled, standing.open, displaced[0], displaced[1],
-               displaced[2], displaced[3], Seconds(standing.longest_idle),
-               standing.longest_idle_job, queue);
+               standing.settled, standing.open, preemption_counts[0],
+               preemption_counts[1], preemption_counts[2], preemption_counts[3],
+               Seconds(standing.longest_idle), standing.longest_idle_job,
+               queue);
   }
 }
 
--- a/test/open-jobs-test.cc
+++ b/test/open-jobs-test.cc
@@ -150,8 +150,8 @@
   Displace(2000, "aa.0.0.0", "bb");
   Displace(2000, "aa.0.0.1", "bb");
   EndLogs(2500);
-  LONGS_EQUAL(1, Band().displaced[1]);
-  LONGS_EQUAL(1, Standing().displaced[1]);
+  LONGS_EQUAL(1, Band().preemption_counts[1]);
+  LONGS_EQUAL(1, Standing().preemption_counts[1]);
 }
 
 TEST(OpenJobs, MemberOfAGangThatMadeWayDoesNotCountAgain) {
@@ -161,7 +161,7 @@
   End(2100, "aa.0.0.0", 1, "stopped");
   End(2200, "aa.0.0.1", 1, "broken");
   EndLogs(2500);
-  LONGS_EQUAL(1, Band().displaced[1]);
+  LONGS_EQUAL(1, Band().preemption_counts[1]);
 }
 
 TEST(OpenJobs, DisplacementsBeyondTheThirdAreInTheLastClass) {
@@ -173,8 +173,8 @@
     begun_ms += 1000;
   }
   EndLogs(6000);
-  LONGS_EQUAL(0, Band().displaced[0]);
-  LONGS_EQUAL(1, Band().displaced[3]);
+  LONGS_EQUAL(0, Band().preemption_counts[0]);
+  LONGS_EQUAL(1, Band().preemption_counts[3]);
 }
 
 TEST(OpenJobs, SettledJobCountsAmongTheQueuesDisplacedOnes) {
@@ -184,7 +184,7 @@
   Assign(1700, "aa.0.0.0", 2);
   End(3700, "aa.0.0.0", 2, "done");
   Settle(3700, "aa");
-  LONGS_EQUAL(1, Standing().displaced[1]);
+  LONGS_EQUAL(1, Standing().preemption_counts[1]);
   LONGS_EQUAL(0, Standing().open);
 }
 
