--- a/src/cli/command.cc
+++ b/src/cli/command.cc
@@ -152,7 +152,7 @@
   return absl::OkStatus();
 }
 
-bool PrintedAsJson(const Target& target, const std::string& body) {
+bool PrintIfJson(const Target& target, const std::string& body) {
   if (!target.json) return false;
   fmt::print("{}\n", body);
   return true;
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -79,7 +79,7 @@
                          MergedLog* story);
 
 /// Prints a JSON body as it is with --json, and returns true then.
-bool PrintedAsJson(const Target& target, const std::string& body);
+bool PrintIfJson(const Target& target, const std::string& body);
 
 }  // namespace limeledge
 
--- a/src/cli/job_commands.cc
+++ b/src/cli/job_commands.cc
@@ -53,7 +53,7 @@
   const bool good = reply.outcome == HttpOutcome::kAnswered &&
                     (reply.status == kOk || reply.status == kAccepted);
   if (!good) return ReportFailure(target, reply);
-  if (PrintedAsJson(target, reply.body)) return kExitDone;
+  if (PrintIfJson(target, reply.body)) return kExitDone;
   const absl::StatusOr<Json::Value> job = ParseJson(reply.body);
   if (job.ok()) PrintJob(*job);
   return kExitDone;
@@ -131,7 +131,7 @@
   const std::string path = absl::StrCat("/v1/jobs", WorkspaceQuery(args, '?'));
   const HttpReply reply = CallServer(target, "GET", path, "", kCallTimeout);
   if (!reply.ok()) return ReportFailure(target, reply);
-  if (PrintedAsJson(target, reply.body)) return kExitDone;
+  if (PrintIfJson(target, reply.body)) return kExitDone;
   const absl::StatusOr<Json::Value> json = ParseJson(reply.body);
   if (!json.ok()) return kExitFailed;
   fmt::print("{:<14} {:<32} {:<16} {:<12} {}\n", "STATE", "JOB", "CLASS",
--- a/src/cli/node_commands.cc
+++ b/src/cli/node_commands.cc
@@ -109,7 +109,7 @@
       std::all_of(nodes.begin(), nodes.end(),
                   [](const NodeState& node) { return node.error.empty(); });
   const int exit_status = all_told ? kExitDone : kExitFailed;
-  if (PrintedAsJson(target, WriteJson(ToJson(nodes)))) return exit_status;
+  if (PrintIfJson(target, WriteJson(ToJson(nodes)))) return exit_status;
   fmt::print("{:<24} {:<20} {:<10} {:<6} {:<6} {}\n", "NODE", "ADDRESS",
              "SCHEDULES", "READY", "STORE", "CONFIGURATION");
   for (const NodeState& node : nodes) PrintNode(node);
@@ -122,7 +122,7 @@
   const Json::Value* scheduler = FindScheduler(nodes);
   if (scheduler == nullptr) return ReportNobody();
   const Json::Value& jobs = (*scheduler)["jobs"];
-  if (PrintedAsJson(target, WriteJson(jobs))) return kExitDone;
+  if (PrintIfJson(target, WriteJson(jobs))) return kExitDone;
   fmt::print("{:<18} {:<16} {:<12} {:<10} {:>8} {:>8} {:>8}\n", "JOB", "QUEUE",
              "WORKSPACE", "STATE", "WAITING", "RUNNING", "DONE");
   for (const std::string& id : jobs.getMemberNames()) {
@@ -170,7 +170,7 @@
   if (scheduler == nullptr) return ReportNobody();
   const std::map<std::string, QueueCount> queues =
       CountQueues((*scheduler)["jobs"]);
-  if (PrintedAsJson(target, WriteJson(ToJson(queues)))) return kExitDone;
+  if (PrintIfJson(target, WriteJson(ToJson(queues)))) return kExitDone;
   fmt::print("{:<20} {:>6} {:>14} {:>14}\n", "QUEUE", "JOBS", "TASKS WAITING",
              "TASKS RUNNING");
   for (const auto& [name, count] : queues) {
@@ -186,7 +186,7 @@
   const Json::Value* scheduler = FindScheduler(nodes);
   if (scheduler == nullptr) return ReportNobody();
   const Json::Value& runners = (*scheduler)["runners"];
-  if (PrintedAsJson(target, WriteJson(runners))) return kExitDone;
+  if (PrintIfJson(target, WriteJson(runners))) return kExitDone;
   fmt::print("{:<14} {:<8} {:<10} {:<8} {:>5} {:>6} {:>9} {:>9}\n", "RUNNER",
              "RACK", "ANSWERS", "LEAVES", "RUNS", "FREE", "SLOWNESS",
              "AVOIDED");
--- a/src/cli/request_commands.cc
+++ b/src/cli/request_commands.cc
@@ -54,7 +54,7 @@
   const HttpReply reply = CallServer(target, "POST", "/v1/requests",
                                      WriteJson(json), timeout + kSlack);
   if (!reply.ok()) return ReportFailure(target, reply);
-  if (PrintedAsJson(target, reply.body)) return kExitDone;
+  if (PrintIfJson(target, reply.body)) return kExitDone;
   const absl::StatusOr<Json::Value> answer = ParseJson(reply.body);
   if (answer.ok()) fmt::print("{}\n", (*answer)["answer"].asString());
   return kExitDone;
--- a/src/cli/settings_commands.cc
+++ b/src/cli/settings_commands.cc
@@ -155,7 +155,7 @@
   if (!reply.ok()) return ReportFailure(target, reply);
   const absl::StatusOr<Json::Value> json = ParseJson(reply.body);
   const std::int64_t version = json.ok() ? (*json)["version"].asInt64() : 0;
-  if (!PrintedAsJson(target, absl::StrCat("{\"version\":", version, "}"))) {
+  if (!PrintIfJson(target, absl::StrCat("{\"version\":", version, "}"))) {
     fmt::print("accepted as version {}\n", version);
   }
   if (args.count("wait") == 0) return kExitDone;
@@ -267,7 +267,7 @@
       absl::StrCat("/v1/settings/history?count=", args["count"].as<int>());
   const HttpReply reply = CallServer(target, "GET", path, "", kCallTimeout);
   if (!reply.ok()) return ReportFailure(target, reply);
-  if (PrintedAsJson(target, reply.body)) return kExitDone;
+  if (PrintIfJson(target, reply.body)) return kExitDone;
   const absl::StatusOr<Json::Value> json = ParseJson(reply.body);
   if (!json.ok()) return kExitFailed;
   const std::int64_t wanted =
--- a/src/cli/state_commands.cc
+++ b/src/cli/state_commands.cc
@@ -27,7 +27,7 @@
          const std::vector<std::string>&) {
   std::string body;
   const int code = ReadState(target, &body);
-  if (code != kExitDone || PrintedAsJson(target, body)) return code;
+  if (code != kExitDone || PrintIfJson(target, body)) return code;
   const absl::StatusOr<Json::Value> json = ParseJson(body);
   if (!json.ok()) return kExitFailed;
   fmt::print("{}\n", WritePrettyJson(*json));
