--- a/src/cli/accelerator_use.h
+++ b/src/cli/accelerator_use.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "cli/job_history.h"
-#include "cli/log_story.h"
+#include "cli/merged_log.h"
 
 namespace limeledge {
 
--- a/src/cli/command.cc
+++ b/src/cli/command.cc
@@ -14,7 +14,7 @@
 #include <iterator>
 
 #include "absl/strings/str_cat.h"
-#include "cli/log_story.h"
+#include "cli/merged_log.h"
 #include "codec/json.h"
 
 namespace limeledge {
--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -7,7 +7,7 @@
 #include <fmt/format.h>
 
 #include "cli/command.h"
-#include "cli/log_story.h"
+#include "cli/merged_log.h"
 #include "codec/json.h"
 
 namespace limeledge {
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "cli/log_story.h"
+#include "cli/merged_log.h"
 #include "limeledge/clock.h"
 
 namespace limeledge {
--- a/src/cli/log_story.cc
+++ b/src/cli/log_story.cc
@@ -4,8 +4,6 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#include "cli/log_story.h"
-
 #include <json/json.h>
 
 #include <algorithm>
@@ -14,6 +12,7 @@
 
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
+#include "cli/merged_log.h"
 #include "codec/json.h"
 
 namespace limeledge {
--- a/src/cli/log_story.h
+++ b/src/cli/merged_log.h
@@ -5,8 +5,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_CLI_LOG_STORY_H_
-#define LIMELEDGE_SRC_CLI_LOG_STORY_H_
+#ifndef LIMELEDGE_SRC_CLI_MERGED_LOG_H_
+#define LIMELEDGE_SRC_CLI_MERGED_LOG_H_
 
 #include <cstdint>
 #include <map>
@@ -63,4 +63,4 @@
 
 }  // namespace limeledge
 
-#endif  // LIMELEDGE_SRC_CLI_LOG_STORY_H_
+#endif  // LIMELEDGE_SRC_CLI_MERGED_LOG_H_
--- a/src/cli/report_command.cc
+++ b/src/cli/report_command.cc
@@ -11,7 +11,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "cli/command.h"
-#include "cli/log_story.h"
+#include "cli/merged_log.h"
 #include "cli/report_values.h"
 #include "cli/starvation_tables.h"
 #include "cli/work_report.h"
--- a/test/log-lines-fixture.h
+++ b/test/log-lines-fixture.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "cli/log_story.h"
+#include "cli/merged_log.h"
 
 namespace limeledge {
 
--- a/test/log-story-test.cc
+++ b/test/log-story-test.cc
@@ -8,7 +8,7 @@
 
 #include <string>
 
-#include "cli/log_story.h"
+#include "cli/merged_log.h"
 
 namespace limeledge {
 
