--- a/src/cli/log_story.cc
+++ b/src/cli/merged_log.cc
@@ -4,6 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
+#include "cli/merged_log.h"
+
 #include <json/json.h>
 
 #include <algorithm>
@@ -12,7 +14,6 @@
 
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
-#include "cli/merged_log.h"
 #include "codec/json.h"
 
 namespace limeledge {
