--- a/src/cli/dearest.cc
+++ b/src/cli/dearest.cc
@@ -4,10 +4,10 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#include "cli/dearest.h"
-
 #include <algorithm>
 
+#include "cli/top_jobs.h"
+
 namespace limeledge {
 
 void TopJobs::Add(double cost, const std::string& job) {
--- a/src/cli/open_jobs.h
+++ b/src/cli/open_jobs.h
@@ -14,8 +14,8 @@
 #include <string>
 #include <vector>
 
-#include "cli/dearest.h"
 #include "cli/job_history.h"
+#include "cli/top_jobs.h"
 
 namespace limeledge {
 
--- a/src/cli/report_values.h
+++ b/src/cli/report_values.h
@@ -9,7 +9,7 @@
 
 #include <string>
 
-#include "cli/dearest.h"
+#include "cli/top_jobs.h"
 #include "codec/json.h"
 #include "limeledge/clock.h"
 
--- a/src/cli/dearest.h
+++ b/src/cli/top_jobs.h
@@ -4,8 +4,8 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#ifndef LIMELEDGE_SRC_CLI_DEAREST_H_
-#define LIMELEDGE_SRC_CLI_DEAREST_H_
+#ifndef LIMELEDGE_SRC_CLI_TOP_JOBS_H_
+#define LIMELEDGE_SRC_CLI_TOP_JOBS_H_
 
 #include <cstddef>
 #include <string>
@@ -33,4 +33,4 @@
 
 }  // namespace limeledge
 
-#endif  // LIMELEDGE_SRC_CLI_DEAREST_H_
+#endif  // LIMELEDGE_SRC_CLI_TOP_JOBS_H_
--- a/src/cli/work_report.h
+++ b/src/cli/work_report.h
@@ -13,10 +13,10 @@
 #include <vector>
 
 #include "cli/accelerator_use.h"
-#include "cli/dearest.h"
 #include "cli/delays.h"
 #include "cli/job_history.h"
 #include "cli/open_jobs.h"
+#include "cli/top_jobs.h"
 
 namespace limeledge {
 
