--- a/src/cli/dearest.cc
+++ b/src/cli/top_jobs.cc
@@ -4,10 +4,10 @@
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
 
-#include <algorithm>
-
 #include "cli/top_jobs.h"
 
+#include <algorithm>
+
 namespace limeledge {
 
 void TopJobs::Add(double cost, const std::string& job) {
