--- a/test/log-lines-fixture.h
+++ b/test/log-lines-fixture.h
@@ -75,8 +75,8 @@
     Line(ms, "job_settled", {{"job", job}, {"state", state}});
   }
 
-  void Displace(std::int64_t ms, const std::string& task,
-                const std::string& urgent) {
+  void Preempt(std::int64_t ms, const std::string& task,
+               const std::string& urgent) {
     Line(ms, "run_displaced",
          {{"task", task}, {"runner", "i-1"}, {"for", urgent}});
   }
--- a/test/open-jobs-test.cc
+++ b/test/open-jobs-test.cc
@@ -90,7 +90,7 @@
 TEST(OpenJobs, TaskThatHasHadNoRunForLongestDecides) {
   Assign(1000, "aa.0.0.0", 1);
   Assign(1000, "aa.0.0.1", 1);
-  Displace(2000, "aa.0.0.1", "bb");
+  Preempt(2000, "aa.0.0.1", "bb");
   End(2000, "aa.0.0.1", 1, "stopped");
   Wait(2000, "aa.0.0", 1);
   EndLogs(6000);
@@ -147,8 +147,8 @@
 TEST(OpenJobs, RunsStoppedInOneMillisecondMadeWayOnce) {
   Assign(1000, "aa.0.0.0", 1);
   Assign(1000, "aa.0.0.1", 1);
-  Displace(2000, "aa.0.0.0", "bb");
-  Displace(2000, "aa.0.0.1", "bb");
+  Preempt(2000, "aa.0.0.0", "bb");
+  Preempt(2000, "aa.0.0.1", "bb");
   EndLogs(2500);
   LONGS_EQUAL(1, Band().preemption_counts[1]);
   LONGS_EQUAL(1, Standing().preemption_counts[1]);
@@ -157,7 +157,7 @@
 TEST(OpenJobs, MemberOfAGangThatMadeWayDoesNotCountAgain) {
   Assign(1000, "aa.0.0.0", 1);
   Assign(1000, "aa.0.0.1", 1);
-  Displace(2000, "aa.0.0.0", "bb");
+  Preempt(2000, "aa.0.0.0", "bb");
   End(2100, "aa.0.0.0", 1, "stopped");
   End(2200, "aa.0.0.1", 1, "broken");
   EndLogs(2500);
@@ -168,7 +168,7 @@
   std::int64_t begun_ms = 1000;
   for (int run = 1; run <= 4; ++run) {
     Assign(begun_ms, "aa.0.0.0", run);
-    Displace(begun_ms + 500, "aa.0.0.0", "bb");
+    Preempt(begun_ms + 500, "aa.0.0.0", "bb");
     End(begun_ms + 600, "aa.0.0.0", run, "stopped");
     begun_ms += 1000;
   }
@@ -179,7 +179,7 @@
 
 TEST(OpenJobs, SettledJobCountsAmongTheQueuesDisplacedOnes) {
   Assign(1000, "aa.0.0.0", 1);
-  Displace(1500, "aa.0.0.0", "bb");
+  Preempt(1500, "aa.0.0.0", "bb");
   End(1600, "aa.0.0.0", 1, "stopped");
   Assign(1700, "aa.0.0.0", 2);
   End(3700, "aa.0.0.0", 2, "done");
