--- a/soak/verdict.cc
+++ b/soak/verdict.cc
@@ -64,9 +64,9 @@
   if (state != "done") return "";
   std::size_t tasks = 0;
   for (const dispatch::StepSpec& step : watch.spec.steps) tasks += step.count;
-  if (watch.listed_done.size() == tasks) return "";
-  return absl::StrCat("is done with ", watch.listed_done.size(), " of ", tasks,
-                      " tasks");
+  if (watch.reported_done.size() == tasks) return "";
+  return absl::StrCat("is done with ", watch.reported_done.size(), " of ",
+                      tasks, " tasks");
 }
 
 void Settle(SoakPlatform* platform, Callers* callers, FaultDriver* driver,
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -102,7 +102,7 @@
     const dispatch::StepSpec& step = watch.spec.steps[before];
     for (int i = 0; i < step.count; ++i) {
       const TaskName earlier{task.job, task.occurrence, before, i};
-      if (watch.listed_done.count(earlier) == 0) {
+      if (watch.reported_done.count(earlier) == 0) {
         Violate(absl::StrCat("start of ", ToString(task), " out of order"));
       }
     }
@@ -217,10 +217,10 @@
   if (end.end != RunEnd::kDone) return;
   const dispatch::StepSpec& step = watch->spec.steps[end.task.step];
   TaskName member = end.task;
-  watch->listed_done.insert(member);
+  watch->reported_done.insert(member);
   for (int i = 0; step.gang && i < step.count; ++i) {
     member.index = i;
-    watch->listed_done.insert(member);
+    watch->reported_done.insert(member);
   }
 }
 
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -51,7 +51,7 @@
   std::map<dispatch::TaskName, int> highest_failed_run;
   std::set<dispatch::TaskName> done;
   /// Tasks that a runner has listed as done; a gang's members by any of them.
-  std::set<dispatch::TaskName> listed_done;
+  std::set<dispatch::TaskName> reported_done;
   /// Runs of its tasks that a runner has listed as failed.
   int listed_failures = 0;
   /// Runners that each task crashed, and its starts after the last of those
--- a/test/outage-test.cc
+++ b/test/outage-test.cc
@@ -16,7 +16,7 @@
   const JobId job = Submit(Step(4, 1, Duration(2000)));
   system.Run(Duration(8000));
   LONGS_EQUAL(leader, system.leader());
-  LONGS_EQUAL(4, Watch(job).listed_done.size());
+  LONGS_EQUAL(4, Watch(job).reported_done.size());
   system.faults().store_answers_lost = 0;
   // A node that has just lost two answers rejects requests.
   system.Run(Duration(1000));
--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -44,7 +44,7 @@
   LONGS_EQUAL(3, Watch(job).starts.size());
   system.faults().store_down = true;
   system.Run(Duration(4000));
-  LONGS_EQUAL(3, Watch(job).listed_done.size());
+  LONGS_EQUAL(3, Watch(job).reported_done.size());
   LONGS_EQUAL(0, Watch(job).done.size());
   system.faults().store_down = false;
   system.Run(Duration(4000));
