--- a/soak/verdict.cc
+++ b/soak/verdict.cc
@@ -57,9 +57,9 @@
   const bool may_be_given_up = std::any_of(
       watch.crashed_under.begin(), watch.crashed_under.end(),
       [](const auto& task) { return task.second >= kCrashesToGiveUp; });
-  if (state == "failed" && watch.listed_failures < kMaxAttempts &&
+  if (state == "failed" && watch.reported_failures < kMaxAttempts &&
       !may_be_given_up) {
-    return absl::StrCat("failed after ", watch.listed_failures, " attempts");
+    return absl::StrCat("failed after ", watch.reported_failures, " attempts");
   }
   if (state != "done") return "";
   std::size_t tasks = 0;
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -213,7 +213,7 @@
 void PromiseOracle::ListEnd(const ReportedEnd& end) {
   JobWatch* watch = Find(end.task.job);
   if (watch == nullptr) return;
-  if (end.end == RunEnd::kFailed) ++watch->listed_failures;
+  if (end.end == RunEnd::kFailed) ++watch->reported_failures;
   if (end.end != RunEnd::kDone) return;
   const dispatch::StepSpec& step = watch->spec.steps[end.task.step];
   TaskName member = end.task;
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -53,7 +53,7 @@
   /// Tasks that a runner has listed as done; a gang's members by any of them.
   std::set<dispatch::TaskName> reported_done;
   /// Runs of its tasks that a runner has listed as failed.
-  int listed_failures = 0;
+  int reported_failures = 0;
   /// Runners that each task crashed, and its starts after the last of those
   /// that are allowed.
   std::map<dispatch::TaskName, int> crashes;
--- a/test/promise-oracle-test.cc
+++ b/test/promise-oracle-test.cc
@@ -126,7 +126,7 @@
 TEST(PromiseOracle, StartBeyondTheAttemptsIsAViolation) {
   Poll(0, {EndOf(first, 1, RunEnd::kFailed), EndOf(first, 2, RunEnd::kFailed)});
   Poll(2, {});
-  CHECK_EQUAL(2, oracle.Find(job)->listed_failures);
+  CHECK_EQUAL(2, oracle.Find(job)->reported_failures);
   Start(first);
   CHECK_EQUAL(1, oracle.violations().size());
 }
@@ -141,7 +141,7 @@
 TEST(PromiseOracle, EndThatIsListedAgainCountsOnce) {
   Poll(0, {EndOf(first, 1, RunEnd::kFailed)});
   Poll(0, {EndOf(first, 1, RunEnd::kFailed)});
-  CHECK_EQUAL(1, oracle.Find(job)->listed_failures);
+  CHECK_EQUAL(1, oracle.Find(job)->reported_failures);
 }
 
 TEST(PromiseOracle, RunOfAJobThatNobodyCancelledMayGoOn) {
