--- a/soak/verdict.cc
+++ b/soak/verdict.cc
@@ -55,7 +55,7 @@
     return "was cancelled by nobody";
   }
   const bool may_be_given_up = std::any_of(
-      watch.crashed_under.begin(), watch.crashed_under.end(),
+      watch.observed_crashes.begin(), watch.observed_crashes.end(),
       [](const auto& task) { return task.second >= kCrashesToGiveUp; });
   if (state == "failed" && watch.reported_failures < kMaxAttempts &&
       !may_be_given_up) {
--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -86,7 +86,7 @@
 void PromiseOracle::RecordRunnerCrash(const std::vector<TaskName>& tasks) {
   for (const TaskName& task : tasks) {
     JobWatch* watch = Find(task.job);
-    if (watch != nullptr) ++watch->crashed_under[task];
+    if (watch != nullptr) ++watch->observed_crashes[task];
   }
 }
 
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -59,7 +59,7 @@
   std::map<dispatch::TaskName, int> crashes;
   std::map<dispatch::TaskName, int> starts_after_crashes;
   /// Runners that crashed while a run of each task was there, whoever did it.
-  std::map<dispatch::TaskName, int> crashed_under;
+  std::map<dispatch::TaskName, int> observed_crashes;
   /// When its tasks first crashed a runner.
   std::optional<TimePoint> first_crash;
 };
--- a/test/dispatch-simulation.h
+++ b/test/dispatch-simulation.h
@@ -333,7 +333,7 @@
   /// whatever made them crash.
   static bool MayBeGivenUp(const JobWatch& watch) {
     return std::any_of(
-        watch.crashed_under.begin(), watch.crashed_under.end(),
+        watch.observed_crashes.begin(), watch.observed_crashes.end(),
         [](const auto& entry) { return entry.second >= kCrashesToGiveUp; });
   }
 
