--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -113,7 +113,7 @@
   });
 }
 
-std::int64_t EmulatedSystem::Waiting() {
+std::int64_t EmulatedSystem::CountWaitingJobs() {
   constexpr int kOrdinaryPriority = 1;
   dispatch::CallReceived call;
   call.kind = dispatch::CallKind::kQuery;
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -129,7 +129,7 @@
   /// Cancels a job at a random node, again until that is acknowledged.
   void Cancel(const JobId& job);
   /// Waiting jobs of the ordinary queue as a node tells; -1 for no answer.
-  std::int64_t Waiting();
+  std::int64_t CountWaitingJobs();
   /// The state that a node tells; empty while it does not answer.
   std::string StateOf(const JobId& job);
 
--- a/test/broken-runners-test.cc
+++ b/test/broken-runners-test.cc
@@ -84,7 +84,7 @@
   }
   Submit(Step(24, 1, Duration(2000)));
   system.Run(Duration(8000));
-  LONGS_EQUAL(0, system.Waiting());
+  LONGS_EQUAL(0, system.CountWaitingJobs());
   CheckNoViolation();
 }
 
--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -92,7 +92,7 @@
   system.Run(Duration(2500));
   Submit(Step(2, 8, Duration(1000)));
   system.Run(Duration(1000));
-  LONGS_EQUAL(1, system.Waiting());
+  LONGS_EQUAL(1, system.CountWaitingJobs());
 }
 
 // The rows of a final job are removed, its progress row last. A scheduler that
