--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the platform's bodies.
+/// Tests of the JSON bodies of the platform's HTTP interfaces.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,7 +18,7 @@
 }
 ;
 
-TEST(Wire, JobCarriesEveryFieldOfAStep) {
+TEST(Wire, EveryFieldOfAJobIsDecoded) {
   const auto job = DecodeJob(
       R"({"spec":"s","steps":[{"count":2,"cpu":500,"mem-mb":256,"gpu":4,)"
       R"("estimate-ms":900,"checkpoint":true,"gang":true,"same-rack":true,)"
@@ -44,7 +44,7 @@
   LONGS_EQUAL(3000, job->recurrence.interval.ms());
 }
 
-TEST(Wire, LeftOutFieldsHaveTheirPlainMeaning) {
+TEST(Wire, OmittedFieldsGetTheirDefaults) {
   const auto job = DecodeJob(R"({"steps":[{}]})");
   CHECK_TRUE(job.ok());
   LONGS_EQUAL(1, job->steps[0].count);
@@ -68,7 +68,7 @@
   CHECK_TRUE(Rejects(std::string(100000, '[')));
 }
 
-TEST(Wire, CatalogHoldsQueuesAndKeys) {
+TEST(Wire, CatalogContainsQueuesAndKeys) {
   const auto catalog = DecodeCatalog(
       R"({"version":7,"routes":[{"name":"r","host":"h","path-prefix":"/p/",)"
       R"("priority":2,"service":"s","attempts":4,"stretch":3.0,"slo-ms":900}],)"
@@ -85,7 +85,7 @@
   POINTERS_EQUAL(nullptr, catalog->Match("other", "/p/0123"));
 }
 
-TEST(Wire, ForeignTypesAreAStatusNotAnException) {
+TEST(Wire, WrongTypesReturnAStatusInsteadOfThrowing) {
   CHECK_FALSE(DecodeCatalog(R"({"version":"x"})").ok());
   CHECK_FALSE(DecodeRunner(RunnerId("i"), R"({"room":5})").ok());
   CHECK_FALSE(DecodeRows(R"({"rows":[5]})").ok());
@@ -93,7 +93,7 @@
   CHECK_FALSE(DecodePoll(R"({"clock-ms":1,"running":[5]})", &polled).ok());
 }
 
-TEST(Wire, RunnerTellsItsRoomAndItsRack) {
+TEST(Wire, RunnerEntryContainsCapacityAndRack) {
   const auto info = DecodeRunner(
       RunnerId("i-1"),
       R"({"service":"s","addr":"10.0.0.1:80","zone":"h","state":"draining",)"
@@ -107,7 +107,7 @@
   CHECK_TRUE((info->room == dispatch::Resources{500, 64, 8}));
 }
 
-TEST(Wire, LookListsRunsAndEnds) {
+TEST(Wire, PollResponseListsRunningAndEndedRuns) {
   dispatch::RunnerPolled polled;
   const auto status = DecodePoll(
       R"({"clock-ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"ck",41]],)"
@@ -122,7 +122,7 @@
   CHECK_TRUE(polled.ended[0].end == dispatch::RunEnd::kGangBroken);
 }
 
-TEST(Wire, LookTellsTheLifeThatAnswers) {
+TEST(Wire, PollResponseContainsTheStartTime) {
   dispatch::RunnerPolled polled;
   CHECK_TRUE(
       DecodePoll(R"({"clock-ms":1,"born":1791244478514})", &polled).ok());
@@ -133,20 +133,20 @@
   }
 }
 
-// Advice is asked for by ids, and its tickets hold for one life each.
-TEST(Wire, TicketsAreThoseOfTheLivesThatWereAskedAbout) {
-  dispatch::AdviceReceived answer;
+// The response names runners by ID, but a ticket is valid for one incarnation.
+TEST(Wire, TicketsBelongToTheIncarnationsThatWereAskedAbout) {
+  dispatch::AdviceReceived advice;
   const dispatch::IncarnationId incarnation(RunnerId("i-1"),
                                             dispatch::StartTime(70));
-  answer.asked = {incarnation};
+  advice.asked = {incarnation};
   CHECK_TRUE(DecodeAdvice(R"({"good":[["i-1","t"],["i-2","u"]],"valid_ms":9})",
-                          &answer)
+                          &advice)
                  .ok());
-  LONGS_EQUAL(1, answer.tickets.size());
-  STRCMP_EQUAL("t", answer.tickets.at(incarnation).c_str());
+  LONGS_EQUAL(1, advice.tickets.size());
+  STRCMP_EQUAL("t", advice.tickets.at(incarnation).c_str());
 }
 
-TEST(Wire, TransactionNamesRowsOfOnePart) {
+TEST(Wire, TransactionListsConditionsPutsAndRemoves) {
   dispatch::RowTransaction transaction;
   transaction.conditions.push_back({{"leader", "scheduler"}, Revision(4)});
   transaction.puts.push_back({{"job", "a"}, "x"});
@@ -158,8 +158,9 @@
       EncodeTransaction(transaction).c_str());
 }
 
-// It made the whole answer unreadable: one bad entry hid every other runner.
-TEST(Wire, RowWhoseValueIsNotBase64IsEmptyAndHidesNoOther) {
+// A value that was not base64 once made the whole response unreadable, so that
+// one bad entry hid all other runners.
+TEST(Wire, InvalidBase64AffectsOnlyItsOwnRow) {
   const absl::StatusOr<RowsBody> body = DecodeRows(
       "{\"rows\":[{\"table\":\"servers\",\"part\":\"\",\"key\":\"bad\","
       "\"value\":\"***\",\"ver\":3},{\"table\":\"servers\",\"part\":\"\","
