--- a/test/broken-end-test.cc
+++ b/test/broken-end-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the end of a process that cannot go on.
+/// Tests of the exit after an unhandled exception.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,76 +19,79 @@
 
 namespace limeledge::platform {
 
-// Runs what breaks a process in a process of its own.
+// Runs functions that throw in a child process.
 TEST_GROUP(BrokenEnd) {
   std::string output;
 
-  /// The exit status; 0 if a signal ended the process.
-  int StatusAfter(const std::function<void()>& breaks) {
-    int ends[2];
-    LONGS_EQUAL(0, pipe(ends));
+  /// Returns the child's exit status, or 0 if a signal ended it. Appends what
+  /// the child wrote to `output`.
+  int RunInChild(const std::function<void()>& function) {
+    int pipe_fds[2];
+    LONGS_EQUAL(0, pipe(pipe_fds));
     const pid_t child = fork();
     if (child == 0) {
-      dup2(ends[1], STDOUT_FILENO);
-      dup2(ends[1], STDERR_FILENO);
-      EndWhenBroken("front-1");
-      breaks();
+      dup2(pipe_fds[1], STDOUT_FILENO);
+      dup2(pipe_fds[1], STDERR_FILENO);
+      InstallTerminateHandler("front-1");
+      function();
       _exit(0);
     }
-    close(ends[1]);
+    close(pipe_fds[1]);
     char bytes[512];
     for (;;) {
-      const ssize_t size = read(ends[0], bytes, sizeof(bytes));
+      const ssize_t size = read(pipe_fds[0], bytes, sizeof(bytes));
       if (size <= 0) break;
       output.append(bytes, static_cast<std::size_t>(size));
     }
-    close(ends[0]);
+    close(pipe_fds[0]);
     int status = 0;
     waitpid(child, &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : 0;
   }
 };
 
-TEST(BrokenEnd, ThreadThatThrowsEndsTheProcess) {
+TEST(BrokenEnd, ExceptionInAThreadEndsTheProcess) {
   LONGS_EQUAL(
-      kExitBroken, StatusAfter([] {
-        std::thread([] { throw std::runtime_error("no more of it"); }).join();
+      kExitFatalError, RunInChild([] {
+        std::thread([] { throw std::runtime_error("out of capacity"); }).join();
       }));
 }
 
-TEST(BrokenEnd, ThrowingTakerOfAReplyEndsTheProcess) {
-  LONGS_EQUAL(kExitBroken, StatusAfter([] {
+TEST(BrokenEnd, ExceptionInAReplyCallbackEndsTheProcess) {
+  LONGS_EQUAL(kExitFatalError, RunInChild([] {
                 HttpLoop loop;
                 HttpCall call;
                 call.address = "nowhere";
                 loop.Call(call, [](const HttpReply&) {
-                  throw std::runtime_error("no more of it");
+                  throw std::runtime_error("out of capacity");
                 });
                 std::promise<void>().get_future().wait();
               }));
 }
 
-// Several threads may break of the same want.
-TEST(BrokenEnd, SecondCauseEndsTheProcessLikeTheFirst) {
-  const auto end = [] {
-    EndBroken(std::make_exception_ptr(std::runtime_error("no more of it")));
+// When memory runs out, several threads may throw at the same time.
+TEST(BrokenEnd, ConcurrentExceptionsEndTheProcess) {
+  const auto exit_after_exception = [] {
+    ExitAfterException(
+        std::make_exception_ptr(std::runtime_error("out of capacity")));
   };
-  LONGS_EQUAL(kExitBroken, StatusAfter([&end] {
-                std::thread first(end);
-                std::thread second(end);
+  LONGS_EQUAL(kExitFatalError, RunInChild([&exit_after_exception] {
+                std::thread first(exit_after_exception);
+                std::thread second(exit_after_exception);
                 first.join();
                 second.join();
               }));
   STRCMP_CONTAINS("\"id\":\"LL951\"", output.c_str());
 }
 
-TEST(BrokenEnd, CauseIsLoggedAsALineAndForPeople) {
-  StatusAfter([] {
-    EndBroken(std::make_exception_ptr(std::runtime_error("no more of it")));
+TEST(BrokenEnd, CauseIsWrittenToTheLogAndToStandardError) {
+  RunInChild([] {
+    ExitAfterException(
+        std::make_exception_ptr(std::runtime_error("out of capacity")));
   });
   STRCMP_CONTAINS("\"id\":\"LL951\"", output.c_str());
   STRCMP_CONTAINS("\"instance\":\"front-1\"", output.c_str());
-  STRCMP_CONTAINS("ends, since it broke: no more of it", output.c_str());
+  STRCMP_CONTAINS("unhandled exception: out of capacity", output.c_str());
 }
 
 }  // namespace limeledge::platform
