--- a/test/platform-settings-test.cc
+++ b/test/platform-settings-test.cc
@@ -14,7 +14,7 @@
 
 TEST_GROUP(PlatformSettings) {
   Findings findings{"node.yaml"};
-  const std::string whole =
+  const std::string valid_text =
       "node: \"edge-1\"\nzone: \"hall-1\"\nnew-field: 1\n"
       "listen:\n  front: \"10.1.0.19:8521\"\n  ready: \"10.1.0.19:8523\"\n"
       "port-range:\n  - 7000\n  - 7015\n"
@@ -23,32 +23,32 @@
       "platform:\n  addr: \"10.200.1.7:8524\"\n";
 };
 
-TEST(PlatformSettings, FileIsReadAndUnknownFieldsArePassedOver) {
-  const Settings settings = ReadSettings(whole, &findings);
+TEST(PlatformSettings, UnknownFieldsAreIgnored) {
+  const Settings settings = ReadSettings(valid_text, &findings);
   CHECK_TRUE(findings.empty());
   STRCMP_EQUAL("edge-1", settings.instance.value().c_str());
   STRCMP_EQUAL("hall-1", settings.hall.value().c_str());
   LONGS_EQUAL(8521, settings.callers.port);
   LONGS_EQUAL(500, settings.capacity_millis);
-  LONGS_EQUAL(6000, settings.longest_run_lease.ms());
+  LONGS_EQUAL(6000, settings.max_run_lease.ms());
   LONGS_EQUAL(4500, settings.stop_grace.ms());
 }
 
-TEST(PlatformSettings, MetricsAreOnAPortOfTheDaemonsWithoutControl) {
-  LONGS_EQUAL(7000, ReadSettings(whole, &findings).metrics.port);
+TEST(PlatformSettings, MetricsUseThePortRangeIfThereIsNoControlAddress) {
+  LONGS_EQUAL(7000, ReadSettings(valid_text, &findings).metrics.port);
 }
 
-TEST(PlatformSettings, WhatIsWrongIsReportedTogether) {
+TEST(PlatformSettings, AllErrorsAreReported) {
   ReadSettings("listen:\n  front: \"nowhere\"\n", &findings);
   CHECK_TRUE(findings.all().size() >= 4);
 }
 
-TEST(PlatformSettings, BrokenYamlIsAFinding) {
+TEST(PlatformSettings, InvalidYamlIsReported) {
   ReadSettings("a: [", &findings);
   CHECK_FALSE(findings.empty());
 }
 
-TEST(PlatformSettings, LogLineIsOneJsonObject) {
+TEST(PlatformSettings, LogLineIsAJsonObject) {
   const LogLine line{LogId::kCallAnswered,
                      {{"path", "/a\"b\n"}, {"state", ""}}};
   STRCMP_EQUAL(
@@ -57,27 +57,28 @@
       FormatJsonLine(line, "e1", 5).c_str());
 }
 
-TEST(PlatformSettings, LogLinesBeyondTheBudgetAreCounted) {
+TEST(PlatformSettings, LogLinesAboveTheRateLimitAreCounted) {
   JsonLog log(-1, "e1");
-  for (int i = 0; i < kLogLinesPerSecond + 100; ++i) {
+  for (int i = 0; i < kMaxLinesPerSecond + 100; ++i) {
     log.Add({LogId::kRunAssigned, {}}, TimePoint(1000), 0);
   }
   LONGS_EQUAL(100, log.dropped());
 }
 
-// A take-over told of 1,100 runners, and dropped what would have told why the
-// scheduler before had failed.
-TEST(PlatformSettings, LinesAboutRunnersLeaveRoomForThoseAboutJobs) {
+// Without a separate limit, the lines about 1,100 runners at a takeover used up
+// the rate limit, and the lines that explained why the previous scheduler had
+// failed were dropped.
+TEST(PlatformSettings, LinesAboutRunnersDoNotDisplaceLinesAboutJobs) {
   JsonLog log(-1, "e1");
-  for (int i = 0; i < kLogLinesPerSecond; ++i) {
+  for (int i = 0; i < kMaxLinesPerSecond; ++i) {
     log.Add({LogId::kRunnerHeard, {}}, TimePoint(1000), 0);
   }
-  const int left = kLogLinesPerSecond - kRunnerLinesPerSecond;
-  LONGS_EQUAL(left, log.dropped());
-  for (int i = 0; i < left; ++i) {
+  const int remaining = kMaxLinesPerSecond - kMaxRunnerLinesPerSecond;
+  LONGS_EQUAL(remaining, log.dropped());
+  for (int i = 0; i < remaining; ++i) {
     log.Add({LogId::kRunAssigned, {}}, TimePoint(1000), 0);
   }
-  LONGS_EQUAL(left, log.dropped());
+  LONGS_EQUAL(remaining, log.dropped());
 }
 
 }  // namespace limeledge::platform
