--- a/test/runner-client-test.cc
+++ b/test/runner-client-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of orders to runners.
+/// Tests of the client that sends orders to runners.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,10 +19,10 @@
 
 using dispatch::OrderOutcome;
 
-// A runner that leaves its first call without an answer.
+// A client and a runner that does not respond to its first call.
 TEST_GROUP(RunnerClient) {
   std::unique_ptr<HttpServer> server;
-  std::promise<void> over;
+  std::promise<void> release_first_call;
   std::atomic<int> calls = 0;
   int second_status = 200;
   const char* second_body = "{\"clock-ms\":7}";
@@ -34,10 +34,11 @@
     options.endpoint = {"127.0.0.1", 0};
     options.connections = 4;
     server = std::make_unique<HttpServer>(options);
-    const std::shared_future<void> gate = over.get_future().share();
-    server->routes().Post(".*", [this, gate](const httplib::Request&,
-                                             httplib::Response& response) {
-      if (++calls == 1) gate.wait();
+    const std::shared_future<void> released =
+        release_first_call.get_future().share();
+    server->routes().Post(".*", [this, released](const httplib::Request&,
+                                                 httplib::Response& response) {
+      if (++calls == 1) released.wait();
       response.status = second_status;
       response.set_content(second_body, "application/json");
     });
@@ -45,43 +46,47 @@
   }
 
   void teardown() override {
-    over.set_value();
+    release_first_call.set_value();
     server->Stop();
   }
 
+  /// Sends a start and returns its outcome.
   OrderOutcome Start() {
     dispatch::StartRun start;
     start.target.incarnation.runner = RunnerId("i-1");
     start.target.address = server->address();
     start.task.job = JobId("00000000000000aa");
     start.run = 1;
-    std::promise<OrderOutcome> told;
-    client.Start(start, [&told](const dispatch::StartRunCompleted& answer) {
-      told.set_value(answer.outcome);
+    std::promise<OrderOutcome> outcome;
+    client.Start(start, [&outcome](const dispatch::StartRunCompleted& result) {
+      outcome.set_value(result.outcome);
     });
-    return told.get_future().get();
+    return outcome.get_future().get();
   }
 };
 
-// One start in twenty got no answer on some days, and cost its gang a second.
-TEST(RunnerClient, StartWithoutAnswerIsSentAgain) {
+// Without a retry, a lost response delays the start of the whole gang by a
+// second. Under some faults one start in twenty gets no response.
+TEST(RunnerClient, StartWithoutResponseIsSentAgain) {
   CHECK(Start() == OrderOutcome::kDone);
   LONGS_EQUAL(2, calls);
 }
 
-// The first sending may come through late: the run must not go elsewhere.
-TEST(RunnerClient, RejectionAfterALostSendingSettlesNothing) {
+// The first attempt may still be carried out later, so the run must not be
+// started on another runner when the second attempt is rejected.
+TEST(RunnerClient, RejectedRetryCountsAsLost) {
   second_status = 409;
   second_body = "{\"clock-ms\":7,\"reason\":\"room\"}";
   CHECK(Start() == OrderOutcome::kLost);
 }
 
-// The scheduler checks a start right before it hands it over; a process that
-// stood still, or was behind, would begin work of a job cancelled since.
-TEST(RunnerClient, StartThatCouldNotLeaveSoonIsNotSent) {
-  HttpCall nowhere;
-  nowhere.address = "nowhere";
-  http.Call(nowhere, [](const HttpReply&) {
+// The scheduler checks a start just before it is sent. If the process is paused
+// or the event loop is delayed after that, the job may have been cancelled in
+// the meantime, and a late start would run it all the same.
+TEST(RunnerClient, StartThatIsDelayedIsNotSent) {
+  HttpCall blocking_call;
+  blocking_call.address = "nowhere";
+  http.Call(blocking_call, [](const HttpReply&) {
     std::this_thread::sleep_for(std::chrono::milliseconds(900));
   });
   CHECK(Start() == OrderOutcome::kNotSent);
--- a/test/runner-entry-test.cc
+++ b/test/runner-entry-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of runners' entries in the store, some of another writer.
+/// Tests of decoding runners' entries in the store.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -12,10 +12,11 @@
 
 namespace limeledge::platform {
 
-// An entry of the list that another writer may have put there.
+// Other programs can write to the table of runners, so an entry may be invalid.
 TEST_GROUP(RunnerEntry){
-    /// The entry of a runner with one field replaced by JSON; left out for "".
-    static bool IsRead(const std::string& field, const std::string& value){
+    /// Returns whether an entry is accepted whose `field` is replaced by the
+    /// JSON text `value`, or removed if `value` is empty.
+    static bool IsAccepted(const std::string& field, const std::string& value){
         Json::Value entry = *ParseJson(
             R"({"service":"s","addr":"10.0.0.1:80","zone":"h","version":"v1",)"
             R"("slots":8,"state":"ready","cold-left-ms":0,"seq":4,)"
@@ -30,46 +31,48 @@
 }
 ;
 
-TEST(RunnerEntry, EntryOfARunnerIsRead) { CHECK_TRUE(IsRead("more", "[1]")); }
+TEST(RunnerEntry, ValidEntryIsAccepted) {
+  CHECK_TRUE(IsAccepted("more", "[1]"));
+}
 
-TEST(RunnerEntry, EntryWithoutAFieldNamesNoRunner) {
+TEST(RunnerEntry, EntryWithAMissingFieldIsRejected) {
   for (const char* field : {"service", "addr", "zone", "state", "room"}) {
-    CHECK_FALSE_TEXT(IsRead(field, ""), field);
+    CHECK_FALSE_TEXT(IsAccepted(field, ""), field);
   }
 }
 
-TEST(RunnerEntry, EntryWithAFieldOfAnotherTypeNamesNoRunner) {
+TEST(RunnerEntry, EntryWithAFieldOfTheWrongTypeIsRejected) {
   for (const char* field :
        {"service", "addr", "zone", "version", "slots", "state", "cold-left-ms",
         "seq", "room", "labels", "born"}) {
     for (const char* value : {"{\"x\":1}", "true", "null", "1.5"}) {
-      CHECK_FALSE_TEXT(IsRead(field, value), field);
+      CHECK_FALSE_TEXT(IsAccepted(field, value), field);
     }
   }
 }
 
-TEST(RunnerEntry, EntryWithoutABirthIsThatOfARunnerThatTellsNone) {
-  CHECK_TRUE(IsRead("born", ""));
-  CHECK_TRUE(IsRead("born", "1791244478514"));
-  CHECK_FALSE(IsRead("born", "-4"));
+TEST(RunnerEntry, StartTimeIsOptionalButNotNegative) {
+  CHECK_TRUE(IsAccepted("born", ""));
+  CHECK_TRUE(IsAccepted("born", "1791244478514"));
+  CHECK_FALSE(IsAccepted("born", "-4"));
 }
 
-TEST(RunnerEntry, EntryWithAnUnknownStateNamesNoRunner) {
-  CHECK_FALSE(IsRead("state", "\"resting\""));
+TEST(RunnerEntry, EntryWithAnUnknownStateIsRejected) {
+  CHECK_FALSE(IsAccepted("state", "\"resting\""));
 }
 
-TEST(RunnerEntry, EntryWithoutAnAddressToCallNamesNoRunner) {
-  CHECK_FALSE(IsRead("addr", "\"somewhere\""));
-  CHECK_FALSE(IsRead("addr", "\"\""));
+TEST(RunnerEntry, EntryWithAnInvalidAddressIsRejected) {
+  CHECK_FALSE(IsAccepted("addr", "\"somewhere\""));
+  CHECK_FALSE(IsAccepted("addr", "\"\""));
 }
 
-TEST(RunnerEntry, EntryWithRoomThatCannotBeNamesNoRunner) {
-  CHECK_FALSE(IsRead("room", R"({"cpu":-1,"mem-mb":64,"gpu":8})"));
-  CHECK_FALSE(IsRead("room", R"({"cpu":500,"gpu":8})"));
-  CHECK_FALSE(IsRead("room", R"({"cpu":1e300,"mem-mb":64,"gpu":8})"));
+TEST(RunnerEntry, EntryWithAnInvalidCapacityIsRejected) {
+  CHECK_FALSE(IsAccepted("room", R"({"cpu":-1,"mem-mb":64,"gpu":8})"));
+  CHECK_FALSE(IsAccepted("room", R"({"cpu":500,"gpu":8})"));
+  CHECK_FALSE(IsAccepted("room", R"({"cpu":1e300,"mem-mb":64,"gpu":8})"));
 }
 
-TEST(RunnerEntry, BytesThatCannotBeReadNameNoRunner) {
+TEST(RunnerEntry, InvalidJsonIsRejected) {
   for (const char* text : {"", "{", "[]", "\xff\xfe", "{\"service\":"}) {
     CHECK_FALSE(DecodeRunner(RunnerId("i-1"), text).ok());
   }
