--- a/test/node-limits-test.sh
+++ b/test/node-limits-test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Nodes that run out of descriptors or memory: each either goes on serving or
-# ends at once; none may live on and leave callers without answers.
+# Nodes that run out of file descriptors or memory must either keep serving or
+# exit immediately. Guards against a process that keeps running but no longer
+# answers callers.
 # Usage: test/node-limits-test.sh BIN_DIR
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -14,8 +15,9 @@
 
 step='{"spec":"{\"work_ms\":200}","steps":[{"count":20,"cpu":100,"estimate-ms":200}]}'
 
-# Hands 100 jobs in, ten at a time; answers do not matter.
-press() {
+# Submits 100 jobs, ten at a time, and ignores the responses.
+# Usage: submit_jobs ID_PREFIX
+submit_jobs() {
   local round call job callers
   for round in $(seq 10); do
     callers=()
@@ -30,8 +32,8 @@
   done
 }
 
-# True if the node is gone, or accepts a job and sees to it that it is done.
-ended_or_serves() {
+# Succeeds if the node has exited, or if it accepts a job and completes it.
+exited_or_serves() {
   local job="$1" pid="${NODES_PIDS[1]}"
   kill -0 "$pid" 2>/dev/null || return 0
   [[ "$(nodes_call POST "/recompute/$job" "$step")" == "200 "* ]] || return 1
@@ -39,8 +41,9 @@
 }
 
 number=0
-# Descriptors, then address space that is left, in kB: too little, and just not
-# enough for all calls.
+# `nofile` limits the file descriptors; `as` limits the address space, in kB in
+# addition to what the node already uses. The limits range from far too low to
+# slightly too low for all calls.
 for limit in nofile:24 nofile:40 as:0 as:2048 as:16384; do
   number=$((number + 1))
   nodes_start "$1" 1
@@ -51,16 +54,16 @@
     size="$(sed -n 's/^VmSize:[^0-9]*\([0-9]*\) kB/\1/p' "/proc/$pid/status")"
     prlimit --pid "$pid" --as=$(((size + ${limit#*:}) * 1024))
   fi
-  press "$number"
-  nodes_until ended_or_serves "$(printf 'f%015x' "$number")" ||
-    fail "with $limit it neither serves nor ends"
+  submit_jobs "$number"
+  nodes_until exited_or_serves "$(printf 'f%015x' "$number")" ||
+    fail "limit $limit: the node neither serves nor exits"
   if kill -0 "$pid" 2>/dev/null; then
-    echo "- with $limit it serves"
+    echo "- limit $limit: the node serves"
   else
     status=0
     wait "$pid" || status=$?
-    echo "- with $limit it ended with status $status"
-    [ "$status" -ne 0 ] || fail "with $limit it ended as if all was well"
+    echo "- limit $limit: the node exited with status $status"
+    [ "$status" -ne 0 ] || fail "limit $limit: expected a nonzero exit status"
   fi
   for other in "${NODES_ALL_PIDS[@]}"; do
     kill -KILL "$other" 2>/dev/null || true
--- a/test/runner-client-test.cc
+++ b/test/runner-client-test.cc
@@ -65,8 +65,8 @@
   }
 };
 
-// Without a retry, a lost response delays the start of the whole gang by a
-// second. Under some faults one start in twenty gets no response.
+// Without a retry, a lost response delays the start of the whole gang by about
+// a second.
 TEST(RunnerClient, StartWithoutResponseIsSentAgain) {
   CHECK(Start() == OrderOutcome::kDone);
   LONGS_EQUAL(2, calls);
