--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Callers that hand jobs in, cancel them and ask for their states.
+/// Simulated callers that submit and cancel jobs and query their states.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,6 +17,7 @@
 
 namespace {
 
+/// A call without a response after this time counts as unanswered.
 constexpr Duration kCallerDeadline{3000};
 constexpr Duration kCallerRetry{800};
 
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Carries out the nodes' calls to the store, and what needs neither it nor
-/// runners.
+/// Performs the effects of nodes that concern the store, the catalog, peers,
+/// callers and logs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,12 +19,12 @@
 namespace {
 
 constexpr Duration kWatchInterval{20};
-// With more waiting at a part, the store refuses.
+// The store refuses a transaction if its partition has more queued work.
 constexpr Duration kMaxPartitionQueue{1000};
 
 }  // namespace
 
-// What needs neither the store nor runners.
+// Effects that involve neither the store nor runners.
 
 void EmulatedSystem::Perform(int node, const dispatch::WriteLog& log) {
   const bool leadership_changed =
@@ -70,7 +70,7 @@
 }
 
 void EmulatedSystem::Perform(int, const dispatch::RespondWithState&) {
-  // Emulated callers ask for no dump.
+  // Simulated callers never request a state dump.
 }
 
 // The store.
@@ -115,7 +115,7 @@
   if (commit.lane == dispatch::StoreLane::kLeader) {
     processes_[node].own_writes[commit.ticket] = now_;
   }
-  // A part carries its transactions out one after the other.
+  // Each partition applies its transactions one at a time.
   TimePoint& free_at = partition_free_at_[commit.transaction.partition];
   free_at = std::max(free_at, now_);
   const bool refused = IsPartitionDown(commit.transaction.partition) ||
@@ -214,7 +214,7 @@
   listed.ok = true;
   std::set<RunnerId> listed_ids;
   for (const auto& [id, runner] : runners_) {
-    // A runner that is cut off can not renew its entry either.
+    // An unreachable runner cannot renew its entry either.
     const bool is_listed =
         IsReachable(id) && faults_.unlisted_runners.count(id) == 0;
     const auto at = listed_from_.find(id);
