--- a/src/emulator/emulated_catalog.cc
+++ b/src/emulator/emulated_catalog.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Makes the catalog of emulated systems.
+/// Builds the catalog of emulated systems, and issues and checks tickets.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,7 +19,7 @@
 constexpr char kPrefix[] = "/queue/";
 constexpr char kUrgentPrefix[] = "/urgent/";
 constexpr char kAdvisedPrefix[] = "/advised/";
-// Between the step and the end of a ticket.
+// Separates a ticket's step and incarnation from its expiry time.
 constexpr char kTicketSeparator[] = " until ";
 
 dispatch::Queue MakeQueue(const char* name, const char* prefix, int priority) {
--- a/src/emulator/emulated_catalog.h
+++ b/src/emulator/emulated_catalog.h
@@ -1,5 +1,6 @@
 /// @file
-/// The queues, the workspace and its key in every emulated system.
+/// The catalog that every emulated system uses: queues, a service, a workspace
+/// and its key.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,34 +16,35 @@
 
 namespace limeledge::emulator {
 
-/// Host that callers call, and the key that they show.
+/// Host and API key that simulated callers use.
 inline constexpr char kHost[] = "jobs.example";
 inline constexpr char kKey[] = "key-1";
 
-/// Priority of the queue whose steps need tickets.
+/// Priority of the queue whose steps need tickets of the advice service.
 inline constexpr int kAdvisedPriority = 2;
 
-/// Attempts that each queue gives a task, where nothing else is asked for.
+/// Default number of attempts that each queue allows per task.
 inline constexpr int kMaxAttempts = 3;
 
-/// The path prefix of the queue of a priority. Thread-safe.
+/// Returns the path prefix of the queue with this priority. Thread-safe.
 const char* PrefixOf(int priority);
 
-/// The ticket with which tasks of the step start on that life of a runner until
-/// that moment. Thread-safe.
+/// Returns a ticket that lets tasks of the step start on that incarnation of a
+/// runner before `until`. Thread-safe.
 std::string MakeTicket(const dispatch::StepName& step,
                        const dispatch::IncarnationId& incarnation,
                        TimePoint until);
-/// True if the ticket lets tasks of the step start there at a moment.
-/// Thread-safe.
+/// Returns true if the ticket lets tasks of the step start on the incarnation
+/// at that time. Thread-safe.
 bool IsTicketValid(const std::string& ticket, const dispatch::StepName& step,
                    const dispatch::IncarnationId& incarnation, TimePoint at);
-/// True if the ticket is one for that life, whenever. Thread-safe.
+/// Returns true if the ticket was issued for the step and the incarnation,
+/// whether or not it has expired. Thread-safe.
 bool IsTicketFor(const std::string& ticket, const dispatch::StepName& step,
                  const dispatch::IncarnationId& incarnation);
 
-/// One queue of each priority, which gives each task so many attempts, one
-/// service and one workspace. Thread-safe.
+/// Returns a catalog with one queue of each priority, one service and one
+/// workspace. Each queue allows `attempts` attempts per task. Thread-safe.
 dispatch::Catalog MakeCatalog(int attempts = kMaxAttempts);
 
 }  // namespace limeledge::emulator
