--- a/src/emulator/emulated_oracle.cc
+++ b/src/emulator/emulated_oracle.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What the emulated system tells its oracle.
+/// Checks on the emulated system, and the observations that it reports to the
+/// oracle.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,19 +18,23 @@
 
 namespace {
 
-/// How often it is checked that nothing runs of a cancelled job: a small part
-/// of the time in which it has to be gone.
+/// Interval between the checks that no task of a cancelled job still runs. It
+/// is much shorter than the time within which the tasks must have stopped, so
+/// that several checks fall into that time.
 constexpr Duration kCancelCheckInterval{100};
-/// Nothing starts in a hall so long after it was to be emptied.
+/// Starts in a drained hall are violations once this time has passed since the
+/// drain was requested.
 constexpr Duration kDrainNotice{5000};
-/// A start that is carried out so long after it was sent counts as late; an
-/// order is otherwise carried out within a round trip.
+/// A start that is executed this long after it was sent counts as late. Other
+/// orders are executed within a round trip.
 constexpr Duration kLateStart{1000};
-/// A life is told within this of its first look not to begin what was sent to
-/// the one before: a stop, and another if the first gets no answer.
+/// Time from the first poll of an incarnation within which starts that were
+/// sent to the previous incarnation are cancelled there: enough for a stop, and
+/// for a second one if the first gets no response.
 constexpr Duration kCancelStartBound{1500};
-/// A new scheduler knows nothing of what its predecessor sent without an
-/// answer; the runner obeys that one until it is looked at.
+/// A new scheduler does not know which orders of the previous scheduler got no
+/// response, and a runner obeys the previous scheduler until the new one polls
+/// it. Misdelivered starts are not violations for this long after a failover.
 constexpr Duration kFailoverTime{3000};
 
 }  // namespace
@@ -86,7 +91,8 @@
   if (answer == nullptr) return;
   const auto sent = process->own_writes.find(answer->ticket);
   if (sent == process->own_writes.end()) return;
-  // An answer to what was sent before tells nothing of the time since.
+  // A write that was sent before the pause ended confirms nothing about the
+  // lease after the pause.
   const bool after_pause = sent->second >= process->paused_until;
   const bool done = answer->outcome == dispatch::StoreOutcome::kDone ||
                     answer->outcome == dispatch::StoreOutcome::kConflict;
@@ -97,8 +103,8 @@
 
 void EmulatedSystem::CheckLeadershipConfirmed(int node, const char* what) {
   if (processes_[node].leadership_confirmed) return;
-  oracle_.Violate(absl::StrCat("node ", node, " stood still, and ", what,
-                               " before it knows whether it schedules"));
+  oracle_.Violate(absl::StrCat("node ", node, " was paused, and ", what,
+                               " before it confirmed its scheduler lease"));
 }
 
 void EmulatedSystem::CheckHallNotDrained(const EmulatedRunner& runner,
@@ -106,8 +112,8 @@
   const auto drained = drained_halls_.find(runner.info().hall);
   if (drained == drained_halls_.end()) return;
   if (now_ - drained->second <= kDrainNotice) return;
-  oracle_.Violate(absl::StrCat("start of ", ToString(order.task),
-                               " in a hall that is to be emptied"));
+  oracle_.Violate(
+      absl::StrCat("start of ", ToString(order.task), " in a drained hall"));
 }
 
 void EmulatedSystem::CheckCapacity(const EmulatedRunner& runner,
@@ -117,7 +123,8 @@
       capacity_history_.Allows(runner.info(), runner.UsedCapacity(), sent_at);
   if (options_.enforces_capacity || allowed) return;
   oracle_.Violate(absl::StrCat("start of ", ToString(order.task), " fills ",
-                               runner.info().id.value(), " over its room"));
+                               runner.info().id.value(),
+                               " beyond its capacity"));
 }
 
 void EmulatedSystem::CheckStart(const EmulatedRunner& runner,
@@ -139,7 +146,8 @@
   oracle_.CheckStartAfterCancel(run, now_);
   JobWatch* watch = oracle_.Find(order.task.job);
   if (watch == nullptr) return;
-  // The answer may be on its way; a refusal must not follow.
+  // The response to the submit may still be in flight; after this start it must
+  // not be a refusal.
   watch->may_be_accepted = true;
   const dispatch::StepName step{order.task.job, order.task.occurrence,
                                 order.task.step};
@@ -147,7 +155,7 @@
       !IsTicketValid(order.ticket, step, runner.info().incarnation(),
                      sent_at)) {
     oracle_.Violate(absl::StrCat("start of ", ToString(order.task),
-                                 " without a ticket that holds"));
+                                 " without a valid ticket"));
   }
   const std::optional<Duration> crash =
       oracle_.TruthOf(order.task).crashes_after;
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Carries out the nodes' looks, orders and questions for advice, with their
+/// Performs the polls, orders and advice requests of nodes, with injected
 /// faults.
 //
 // Copyright (c) 2026 the limeledge authors.
@@ -22,24 +22,25 @@
 namespace {
 
 constexpr Duration kOrderTimeout{1000};
-/// How often a look that waits is tried again.
+/// Interval at which a waiting poll checks again for new ends.
 constexpr Duration kPollRetryInterval{20};
 constexpr Duration kAdviceTime{100};
 constexpr Duration kTicketTime{3000};
 
-/// Tells with a start's answer that an earlier sending may still come.
+/// Sets in the result of a start whether an earlier attempt may still arrive.
 void SetEarlierAttemptPending(bool repeated,
                               dispatch::StartRunCompleted* answer) {
   answer->earlier_attempt_pending = repeated;
 }
 
-/// Stops are harmless however late they come.
+/// Results of stops carry no such flag: a stop is harmless however late it
+/// arrives.
 void SetEarlierAttemptPending(bool, dispatch::StopRunCompleted*) {}
 
 }  // namespace
 
 void EmulatedSystem::Perform(int node, const dispatch::PollRunner& poll) {
-  CheckLeadershipConfirmed(node, "looks at a runner");
+  CheckLeadershipConfirmed(node, "polls a runner");
   const int incarnation = processes_[node].incarnation;
   ++polls_;
   if (Happens(faults_.polls_lost)) {
@@ -80,8 +81,8 @@
   const dispatch::RunnerPolled answer = runner->Poll(poll);
   const std::vector<dispatch::ReportedEnd> unreported =
       runner->TakeUnreportedEnds();
-  // A call that comes to a later life than it was meant for can't be taken
-  // back: what that life forgets by it breaks no promise.
+  // Nothing can recall a late poll that reaches a later incarnation than its
+  // target, so ends that this incarnation forgets are no violation.
   if (poll.target.incarnation != runner->info().incarnation()) return;
   oracle_.RecordUnreportedEnds(unreported);
   RecordPoll(poll, answer, *runner);
@@ -121,14 +122,15 @@
   const bool reset =
       waiting_at.runner == current.runner && waiting_at != current;
   if (reset) {
-    // The life at which the look waited is gone, and its connection with it.
+    // The incarnation at which the poll waited has ended, which closed the
+    // connection.
     answer.outcome = OrderOutcome::kLost;
     At(now_ + options_.network, [this, node, incarnation, answer] {
       Deliver(node, incarnation, answer);
     });
     return;
   }
-  // The lease is renewed when the look comes, not when it is answered.
+  // The poll renews the lease when it arrives, not when it is answered.
   answer = runner->Poll(poll);
   oracle_.RecordUnreportedEnds(runner->TakeUnreportedEnds());
   const bool waits = answer.outcome == OrderOutcome::kDone && now_ < until &&
@@ -155,11 +157,12 @@
   answer.valid = kTicketTime;
   const TimePoint until = now_ + kAdviceTime + kTicketTime;
   for (const dispatch::IncarnationId& incarnation : request.runners) {
-    // Every other runner may run a step, in all of its lives.
+    // Every second runner gets tickets, in all of its incarnations.
     int index = 0;
     std::sscanf(incarnation.runner.value().c_str(), "i-%d-", &index);
     if (index % 2 == 0) {
-      // It is made out for the life that is there now.
+      // The ticket is issued for the runner's current incarnation, which may
+      // differ from the one that the request names.
       const EmulatedRunner* present = FindRunner(incarnation.runner);
       const dispatch::IncarnationId holder =
           present == nullptr ? incarnation : present->info().incarnation();
