--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Runners in memory.
+/// Implementation of simulated runners and of the gang registry.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -37,7 +37,7 @@
       now_(created_at) {}
 
 EmulatedRunner::~EmulatedRunner() {
-  // Members elsewhere notice that this one is gone.
+  // Ends the runs of gang members on other runners.
   std::map<TaskName, ActiveRun> runs = std::move(runs_);
   runs_.clear();
   for (const auto& [name, run] : runs) {
@@ -48,7 +48,8 @@
 }
 
 std::int64_t EmulatedRunner::clock_ms() const {
-  // What runs before the first look has no lease yet.
+  // An expiry time of 0 stands for a lease that was never granted, so the clock
+  // starts after 0.
   constexpr std::int64_t kClockStart = 1;
   return kClockStart + (now_ - created_at_).ms();
 }
@@ -74,7 +75,7 @@
     }
     for (const TaskName& name : names) {
       const auto found = runs_.find(name);
-      // Another member's end may have ended it meanwhile.
+      // The end of another gang member may have ended this run in the loop.
       if (found != runs_.end()) AdvanceRun(name, &found->second, step);
       if (crashed_by_.has_value()) return;
     }
@@ -300,7 +301,7 @@
 }
 
 bool EmulatedRunner::HasNewEnds(std::int64_t acknowledged) const {
-  // Ends that an earlier scheduler took note of are forgotten.
+  // Ends that a previous scheduler acknowledged are no longer in the list.
   return !ended_.empty() && ended_.back().number > acknowledged;
 }
 
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runners that run tasks under leases, by the clock that they are given.
+/// Simulated runners that execute tasks under leases in virtual time.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,35 +19,36 @@
 
 namespace limeledge::emulator {
 
-/// How a task really behaves, whatever its caller guessed.
+/// How a task actually behaves, as opposed to its caller's estimate.
 struct TaskTruth {
   Duration work{1000};
   dispatch::Resources need;
   bool saves_progress = false;
-  /// 0 for a task that is no member of a gang.
+  /// Number of members of the task's gang; 0 if it belongs to none.
   int gang_size = 0;
-  /// Every run fails when it is done with its work.
+  /// Every run fails once it has finished its work.
   bool always_fails = false;
-  /// Every runner that runs it crashes once so much of it is worked.
+  /// Every runner that executes the task crashes once it has done this much of
+  /// the work.
   std::optional<Duration> crashes_after;
-  /// Only the step's task of this index crashes its runners; -1 for all.
+  /// Index of the only task of the step that crashes its runners; -1 if all do.
   int crashing_index = -1;
 };
 
-/// Bounds that hold on all runners.
+/// Limits and times that all runners share.
 struct RunnerBounds {
   Duration longest_lease{10000};
   Duration stop_time{300};
   Duration gang_wait{3000};
   Duration save_interval{1000};
-  /// If not 0, a lease counts for this long from when its order arrives,
-  /// whatever end the order names.
+  /// If not 0, a lease lasts this long from the arrival of its order, whatever
+  /// expiry time the order names.
   Duration lease_from_arrival;
-  /// Runners refuse what does not fit into their room.
+  /// Runners refuse starts that exceed their capacity.
   bool guards_room = true;
 };
 
-/// One run of a task. Runs of a task are told apart by their numbers.
+/// Identifies a run of a task by its number.
 struct RunName {
   dispatch::TaskName task;
   int number = 0;
@@ -57,17 +58,16 @@
   }
 };
 
-/// What runners share: the truth of tasks, and who is there of each gang.
 class GangRegistry;
 
-/// One life of a runner.
+/// One incarnation of a runner.
 ///
 /// Thread safety: none; callers lock.
 class EmulatedRunner {
  public:
   using Truth = std::function<TaskTruth(const dispatch::TaskName&)>;
 
-  /// Its own clock counts from `began`.
+  /// The runner's own clock starts at `created_at`.
   EmulatedRunner(dispatch::RunnerInfo info, RunnerBounds bounds, Truth truth,
                  GangRegistry* gang_registry, TimePoint created_at);
   ~EmulatedRunner();
@@ -77,54 +77,54 @@
   const dispatch::RunnerInfo& info() const { return info_; }
   dispatch::RunnerInfo& info() { return info_; }
 
-  /// Lets work, stops and leases go on until `now`. Call it before every other
-  /// method, with times that do not go back.
+  /// Advances work, stops and leases to `now`. Call it before every other
+  /// method, with non-decreasing times.
   void AdvanceTo(TimePoint now);
-  /// The next moment at which something ends by itself.
+  /// The earliest time at which a run or the lease may end without an order.
   TimePoint next_at() const;
 
   dispatch::StartRunCompleted Start(const dispatch::StartRun& order);
   dispatch::StopRunCompleted Stop(const dispatch::StopRun& order);
   dispatch::RunnerPolled Poll(const dispatch::PollRunner& poll);
-  /// True if this life was first looked at longer ago than `time`.
+  /// True if this incarnation was first polled longer ago than `time`.
   bool PolledForLongerThan(Duration time) const {
     return first_poll_at_.has_value() && now_ - *first_poll_at_ > time;
   }
-  /// True if a look that waits for an end would be answered now.
+  /// True if a poll that waits for new ends would be answered now.
   bool HasNewEnds(std::int64_t acknowledged) const;
 
-  /// Ends that this life was told are known, though it never listed them; each
-  /// is handed out once.
+  /// Returns the ends that were acknowledged although this incarnation never
+  /// reported them. Each one is returned once.
   std::vector<dispatch::ReportedEnd> TakeUnreportedEnds();
 
-  /// True if the runner's lease was over at some time since it listed the end.
+  /// True if the runner's lease has expired at some time since the run ended.
   bool LeaseExpiredSince(std::int64_t end) const;
 
-  /// Tasks take so many times as long from now on.
+  /// Multiplies the duration of work by `factor` from now on.
   void SetSlowness(double factor) { slowness_ = factor; }
-  /// Every run fails from now on, once its work is done.
+  /// While set, every run fails once its work is done.
   void SetFailing(bool failing) { failing_ = failing; }
-  /// Every run that begins from now on fails at once.
+  /// While set, every run that starts fails immediately.
   void SetBroken(bool broken) { broken_ = broken; }
 
-  /// What all runs that have not ended take, those that are being stopped
-  /// included.
+  /// Capacity that all active runs use, including those that are stopping.
   dispatch::Resources UsedCapacity() const;
 
-  /// The task that crashed this life; nothing while it lives. A life that
-  /// crashed does nothing more, and is to be removed.
+  /// The task that crashed this incarnation, if any. After a crash the runner
+  /// does nothing more; the owner has to remove it.
   const std::optional<dispatch::TaskName>& crashed_by() const {
     return crashed_by_;
   }
-  /// Work of the runs here that is not saved, in core-milliseconds, but for
-  /// that of one task.
+  /// Work since the last checkpoint of all active runs but those of one task,
+  /// in core-milliseconds.
   double UnsavedWorkExcept(const dispatch::TaskName& name) const;
 
-  /// Calls `visit` for each run that has not ended.
+  /// Calls `visit` for each active run.
   void ForEachRun(
       const std::function<void(const dispatch::TaskName&, int)>& visit) const;
 
-  /// Called by the board: another member ended, or all members are done.
+  /// Ends a run because another member of its gang ended. Called by the gang
+  /// registry.
   void EndMember(const dispatch::TaskName& name, int run, dispatch::RunEnd end);
 
  private:
@@ -135,20 +135,20 @@
     double worked_ms = 0;
     std::string checkpoint;
     double saved_ms = 0;
-    /// It fails as soon as it works.
+    /// The run fails as soon as it does work.
     bool broken = false;
-    /// The run is being stopped and ends then.
+    /// The run is being stopped and ends at `stops_at`.
     bool stopping = false;
     TimePoint stops_at;
   };
 
   std::int64_t clock_ms() const;
   bool AcceptsEpoch(Epoch epoch);
-  /// Begins the run if nothing is against it.
+  /// Starts the run, or returns why it is refused.
   dispatch::OrderOutcome ExecuteStart(const dispatch::StartRun& order);
   void BeginRun(const dispatch::StartRun& order, const TaskTruth& truth);
   void ExtendLease(std::int64_t until_ms);
-  /// Forgets the ends up to that number.
+  /// Drops the ends up to and including that number.
   void ForgetEnds(std::int64_t acknowledged);
   void UpdateLeaseState();
   void AdvanceRun(const dispatch::TaskName& name, ActiveRun* run,
@@ -170,28 +170,29 @@
   bool broken_ = false;
   std::int64_t last_end_ = 0;
   std::map<dispatch::TaskName, ActiveRun> runs_;
-  /// The newest run of each task that ended here or may not begin any more.
+  /// Per task, the newest run that ended here or was cancelled before it
+  /// started. Starts up to that run are refused.
   std::map<dispatch::TaskName, int> newest_closed_run_;
   std::vector<dispatch::ReportedEnd> ended_;
-  /// The newest end that was listed in an answer.
+  /// Number of the newest end that a poll response contained.
   std::int64_t newest_reported_ = 0;
   std::vector<dispatch::ReportedEnd> unreported_;
-  /// Times that the lease ran out, and their number at each end.
+  /// How often the lease has expired, in total and when each end occurred.
   int lease_expirations_ = 0;
   bool lease_expired_ = false;
   std::map<std::int64_t, int> expirations_at_end_;
   std::optional<dispatch::TaskName> crashed_by_;
 };
 
-/// Brings the members of a gang's run together.
+/// Tracks which members of each gang run are present on their runners.
 ///
 /// Thread safety: none; callers lock.
 class GangRegistry {
  public:
   void Join(const dispatch::TaskName& name, int run, EmulatedRunner* runner);
-  /// Takes a member away; the others end by it.
+  /// Removes a member, which ends the runs of all other members.
   void Leave(const dispatch::TaskName& name, int run, dispatch::RunEnd end);
-  /// Members of the run that are there.
+  /// Number of members of the run that are present.
   int CountMembers(const dispatch::TaskName& name, int run) const;
 
  private:
