--- a/src/emulator/capacity_history.h
+++ b/src/emulator/capacity_history.h
@@ -1,5 +1,5 @@
 /// @file
-/// Holds what runs at runners against their rooms, which may shrink.
+/// Former capacities of runners, to check starts after a capacity has shrunk.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,20 +17,22 @@
 
 namespace limeledge::emulator {
 
-/// Remembers rooms that runners had before they shrank.
+/// Records the capacities that runners had before they shrank.
 ///
 /// Thread safety: none; callers lock.
 class CapacityHistory {
  public:
-  /// A room that has shrunk counts for starts `notice` later.
+  /// Starts have to respect a reduced capacity `notice` after the change, since
+  /// the scheduler learns of it with a delay.
   explicit CapacityHistory(Duration notice) : notice_(notice) {}
 
-  /// The runner's room changes from `before`.
+  /// Records that the runner's capacity changes from `before` to another value.
   void RecordChange(const RunnerId& runner, const dispatch::Resources& before,
                     TimePoint now) {
     former_[runner].emplace_back(before, now + notice_);
   }
-  /// True if a start that was sent at that moment may fill the runner so far.
+  /// Returns true if a start that was sent at `sent_at` may bring the capacity
+  /// in use to `used`.
   bool Allows(const dispatch::RunnerInfo& info, const dispatch::Resources& used,
               TimePoint sent_at) const {
     if (used.Fits(info.room)) return true;
--- a/src/emulator/emulated_store.cc
+++ b/src/emulator/emulated_store.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The store in memory.
+/// Implementation of the in-memory store.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/src/emulator/emulated_store.h
+++ b/src/emulator/emulated_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's store of rows, kept in memory.
+/// In-memory substitute for the platform's row store.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,29 +17,32 @@
 
 namespace limeledge::emulator {
 
-/// Rows with revisions, conditional transactions and a history of changes.
+/// A row store with revisions, conditional transactions and a change history.
 ///
 /// Thread safety: none; callers lock.
 class EmulatedStore {
  public:
-  /// Does all of it or nothing. The ticket of the answer is not set.
+  /// Applies the whole transaction, or nothing if a condition fails. The ticket
+  /// of the result is not set.
   dispatch::CommitCompleted Commit(const dispatch::RowTransaction& transaction);
-  /// Rows of a part of a table with keys from `from` to before `to` (empty: the
-  /// last).
+  /// Returns up to `limit` rows of one partition of a table, with keys in the
+  /// range [`from`, `to`). An empty `to` means no upper bound.
   dispatch::ReadCompleted Read(const std::string& table,
                                const std::string& partition,
                                const std::string& from, const std::string& to,
                                int limit) const;
-  /// Changes of all parts of a table after a revision, each row once, in order.
+  /// Returns the rows of all partitions of a table that changed after a
+  /// revision, each once with its latest value, ordered by revision.
   dispatch::ChangesReceived Changes(const std::string& table,
                                     Revision after) const;
-  /// Changes up to now can not be asked for any more.
+  /// Compacts the history: changes up to the current revision can no longer be
+  /// read.
   void ForgetHistory() { history_from_ = revision_; }
 
   Revision revision() const { return revision_; }
 
  private:
-  /// Table, part and key.
+  /// Table, partition and row key.
   using Key = std::tuple<std::string, std::string, std::string>;
   struct Cell {
     std::string value;
