--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Virtual time, the lives of nodes and runners.
+/// Virtual time, and starts and ends of nodes and runners.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,8 +20,9 @@
 
 namespace {
 
-/// A process that stands still for so long may not schedule any more, and has
-/// to find out first: less than any lease, more than a slow machine's pauses.
+/// After a pause of at least this length a process may have lost its scheduler
+/// lease and has to check first. The value is shorter than any lease, and
+/// longer than the pauses of a slow machine.
 constexpr Duration kLongPause{1500};
 
 constexpr std::int64_t kWallStart = 1700000000000;
@@ -51,7 +52,8 @@
 }
 
 EmulatedSystem::~EmulatedSystem() {
-  // Runners leave their gangs while the board is still there.
+  // Runners deregister from their gangs, so they have to be destroyed before
+  // the registry.
   runners_.clear();
 }
 
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -1,6 +1,6 @@
 /// @file
-/// Nodes, store, runners and callers under virtual time, with faults and an
-/// oracle.
+/// A simulation of nodes, store, runners and callers in virtual time, with
+/// fault injection and an oracle.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -28,7 +28,7 @@
 
 namespace limeledge::emulator {
 
-/// Sizes and times of an emulated system.
+/// Sizes and delays of an emulated system.
 struct SystemOptions {
   std::uint64_t seed = 1;
   int nodes = 3;
@@ -36,81 +36,87 @@
   int runners_per_rack = 4;
   dispatch::Resources room{64000, 262144, 8};
   RunnerBounds bounds;
-  /// Attempts that queues give a task.
+  /// Number of attempts that queues allow per task.
   int attempts = kMaxAttempts;
-  /// What the catalog says, and what runners do.
+  /// Whether runners refuse starts that exceed their capacity; the catalog says
+  /// the same of their service.
   bool enforces_capacity = true;
-  /// A room that has shrunk counts for starts so much later.
+  /// Starts have to respect a reduced capacity this long after the change.
   Duration capacity_notice{4500};
-  /// Of the scheduler of every node.
+  /// Options of the scheduler of every node.
   dispatch::PlannerOptions planner;
   dispatch::JobRegistryOptions job_registry;
   dispatch::LossRules loss;
-  /// One way between any two parties.
+  /// One-way delay between any two parties.
   Duration network{1};
   Duration store_time{4};
-  /// What a transaction takes of its part, beside that.
+  /// Time that a transaction occupies its partition, in addition to
+  /// `store_time`.
   Duration transaction_time{5};
-  /// How long a runner is away that a task crashed, and how long its entry
-  /// stays in the list after its end.
+  /// How long a runner stays down after a task crashed it, and how long its
+  /// entry stays in the list after the crash.
   Duration crash_down{3400};
   Duration entry_expiry{4500};
-  /// Runners that start again keep their ids. Their entries tell of the life
-  /// before for `entry_lag`, as far as they stand, and births are off by
-  /// `start_time_skew` more for each life.
+  /// Restarted runners keep their ids. For `entry_lag` after a restart the list
+  /// lacks the entry of the new incarnation; it may still contain that of the
+  /// previous one, until that expires. Reported start times are off by a
+  /// further `start_time_skew` with each incarnation.
   bool keeps_ids = false;
   Duration entry_lag;
   Duration start_time_skew;
 };
 
-/// Faults that are on at the moment.
+/// Faults that are injected at the moment.
 struct Faults {
   bool store_down = false;
-  /// Shares of calls whose answer is lost after the call took effect.
+  /// Probability that the response to a call is lost after the call took
+  /// effect. An order without a response takes effect within `late_order`.
   double store_answers_lost = 0;
   double orders_lost = 0;
-  /// Share of looks that never arrive.
+  /// Probability that a poll never arrives.
   double polls_lost = 0;
-  /// Such an order is carried out late by up to this.
+  /// Maximum delay after which a lost or repeated order, or a late poll, is
+  /// executed.
   Duration late_order{0};
-  /// Share of starts whose first sending gets no answer: the second one does,
-  /// and the first is carried out late.
+  /// Probability that the first attempt of a start gets no response and is
+  /// executed late, while the second attempt gets a response.
   double starts_repeated = 0;
-  /// Share of looks that are lost and carried out late.
+  /// Probability that a poll gets no response and is executed late.
   double polls_late = 0;
-  /// The store takes so many times as long.
+  /// Factor by which store calls take longer.
   int store_slowness = 1;
   std::set<int> nodes_without_store;
-  /// Parts of the store that are away while the others are there.
+  /// Partitions of the store that refuse calls while the others are available.
   std::set<std::string> partitions_down;
   std::set<RunnerId> unreachable_runners;
-  /// Runners that hear nothing and answer nothing though all links are sound:
-  /// no excuse for a node that goes on starting tasks there.
+  /// Runners that receive and answer nothing although the network is sound.
+  /// They do not excuse a node that keeps starting tasks there.
   std::set<RunnerId> mute_runners;
-  /// What a runner takes to answer an order, beside the network; no fault of
-  /// its own while it is short.
+  /// Time that a runner takes to answer an order, in addition to the network
+  /// delay. `none` does not count it as a fault.
   Duration order_time;
-  /// Runners that serve on without an entry in the list.
+  /// Runners that keep serving without an entry in the list.
   std::set<RunnerId> unlisted_runners;
 
-  /// True while none is on that may hold a node up.
+  /// True while no fault is active that may delay a node.
   bool none() const;
 };
 
-/// What tasks that crash their runners did.
+/// Damage done by tasks that crash their runners.
 struct CrashCount {
   int crashes = 0;
-  /// Unsaved work of other runs that went with them, in core-milliseconds.
+  /// Unsaved work of other runs that was lost in the crashes, in
+  /// core-milliseconds.
   double bystanders_work = 0;
 };
 
-/// What the reducers of all nodes took of the real processor.
+/// Real time that the reducers of all nodes took, and events that they handled.
 struct ReducerUse {
   std::chrono::nanoseconds time{0};
   std::int64_t events = 0;
 };
 
-/// A whole system in one thread. What breaks a promise is collected in
+/// A whole system in one thread. Violated invariants are collected in
 /// `violations`.
 ///
 /// Thread safety: none; use it from one thread.
@@ -119,21 +125,24 @@
   explicit EmulatedSystem(SystemOptions options);
   ~EmulatedSystem();
 
-  /// Lets virtual time pass.
+  /// Advances virtual time by `time` and runs all actions that become due.
   void Run(Duration time);
   TimePoint now() const { return now_; }
 
-  /// Hands a job in at a random node, again with the same id until there is a
-  /// final answer.
+  /// Submits a job at a random node, and retries with the same id until the job
+  /// is accepted.
   JobId Submit(dispatch::JobSpec spec, std::vector<TaskTruth> truths);
-  /// Cancels a job at a random node, again until that is acknowledged.
+  /// Cancels a job at a random node, and retries until that is acknowledged.
   void Cancel(const JobId& job);
-  /// Waiting jobs of the ordinary queue as a node tells; -1 for no answer.
+  /// Number of waiting jobs in the ordinary queue as a node reports it; -1 if
+  /// there is no response.
   std::int64_t CountWaitingJobs();
-  /// The state that a node tells; empty while it does not answer.
+  /// The job's state as a node reports it; "gone" for an unknown job, empty if
+  /// there is no response.
   std::string StateOf(const JobId& job);
 
-  /// Called with each log line of a node and each start at a runner.
+  /// Sets a function that is called with a line of text for each log line of a
+  /// node and for events such as starts, stops and crashes of runners.
   void SetTrace(std::function<void(const std::string&)> trace) {
     trace_ = std::move(trace);
   }
@@ -142,48 +151,50 @@
   EmulatedStore& store() { return store_; }
   /// Transactions that nodes sent, refused ones included.
   int commits() const { return commits_; }
-  /// Looks that nodes sent at runners, lost ones included.
+  /// Polls that nodes sent to runners, lost ones included.
   int polls() const { return polls_; }
   const ReducerUse& reducer_use() const { return reducer_use_; }
   const CrashCount& crashes() const { return crashes_; }
-  /// The room of each runner as it begins.
+  /// Initial capacity of each runner.
   const dispatch::Resources& room() const { return options_.room; }
-  /// Orders to one runner that waited for each other, at most.
+  /// Maximum number of orders to one runner that were queued or in flight at a
+  /// time.
   std::size_t longest_order_lane() const { return longest_order_lane_; }
   const std::vector<std::string>& violations() const {
     return oracle_.violations();
   }
   const std::map<JobId, JobWatch>& jobs() const { return oracle_.jobs(); }
-  /// What a node that runs makes of the store's silence.
+  /// How a node judges the outage of the store. Precondition: the node runs.
   dispatch::StoreOutage StoreOutageAt(int node) const {
     return processes_[node].node->store_loss();
   }
-  /// The node that leads now; -1 for none.
+  /// The first node that considers itself the leader; -1 if there is none.
   int leader() const;
 
-  /// The process ends without a word and starts again after `down`.
+  /// Kills the process without a shutdown and restarts it after `down`.
   void KillNode(int node, Duration down);
-  /// The process ends without a word and never comes back.
+  /// Kills the process without a shutdown and never restarts it.
   void RemoveNode(int node);
-  /// The process stands still for `time`; its calls go on.
+  /// Pauses the process for `time`; its calls in flight continue.
   void FreezeNode(int node, Duration time);
-  /// The process is asked to stop, and starts again after it ended.
+  /// Requests a shutdown of the process, which restarts after it has exited.
   void StopNode(int node);
-  /// The runner ends; another life comes at its address after `down`.
+  /// Ends the runner; a new incarnation starts at its address after `down`.
   void KillRunner(const RunnerId& runner, Duration down);
-  /// The same as a crash: its entry stays in the list until it lapses.
+  /// Like `KillRunner`, but the runner's entry stays in the list until it
+  /// expires.
   void CrashRunner(const RunnerId& runner, Duration down);
-  /// The operator has a hall emptied, or gives it back.
+  /// Drains a hall, or ends the drain, as an operator does.
   void SetDrained(const HallId& hall, bool drained);
-  /// The runner's room changes while it runs, and its entry with it.
+  /// Changes the capacity of a running runner and of its entry in the list.
   void SetCapacity(const RunnerId& runner, const dispatch::Resources& room);
-  /// The runner says that it leaves, and does so after `time`.
+  /// The runner announces that it leaves, and is removed after `time`.
   void DrainRunner(const RunnerId& runner, Duration time);
   EmulatedRunner* FindRunner(const RunnerId& runner);
   std::vector<RunnerId> RunnerIds() const;
 
  private:
-  /// The list of runners as a node was last told of it.
+  /// The list of runners as a node last received it.
   struct RunnerListView {
     Revision revision;
     struct Entry {
@@ -196,22 +207,22 @@
   };
   struct Process {
     std::unique_ptr<dispatch::Node> node;
-    /// Counts lives; answers to an earlier one are dropped.
+    /// Number of the current incarnation; responses to calls of previous ones
+    /// are dropped.
     int incarnation = 0;
     TimePoint frozen_until;
     std::vector<dispatch::EventBody> held;
     bool ready = false;
-    /// When it last stood still for long, and whether the store has confirmed
-    /// since then that it schedules.
+    /// End of the last long pause, and whether the store has confirmed since
+    /// then that the node holds the scheduler lease.
     TimePoint paused_until;
     bool leadership_confirmed = true;
-    /// When each write under its lease was sent.
+    /// When each write that depends on the scheduler lease was sent.
     std::map<dispatch::Ticket, TimePoint> own_writes;
-    /// It was asked to stop, and has not begun anew.
+    /// A shutdown was requested, and the process has not restarted.
     bool stopping = false;
     bool removed = false;
-    /// Orders to each runner, which go one after the other; the first is under
-    /// way.
+    /// Orders to each runner, sent one at a time; the first one is in flight.
     std::map<dispatch::IncarnationId, std::queue<std::function<void()>>>
         order_lanes;
     TimePoint timer_at;
@@ -233,7 +244,7 @@
   void StartNode(int node);
   void Deliver(int node, int incarnation, dispatch::EventBody body);
   void Reduce(int node, dispatch::EventBody body);
-  // Carries an effect of a node out, by its kind.
+  // Performs an effect of a node.
   void Perform(int node, const dispatch::CommitRows& commit);
   void Perform(int node, const dispatch::ReadRows& read);
   void Perform(int node, const dispatch::AwaitChanges& request);
@@ -244,7 +255,7 @@
   dispatch::RunnersListed RunnerChanges(const RunnerListView& seen) const;
   static void Apply(const dispatch::RunnersListed& changes,
                     RunnerListView* seen);
-  /// Answers once the list has changed, or when the wait is over.
+  /// Responds once the list has changed or `until` has come.
   void WatchRunners(int node, int incarnation,
                     const dispatch::ListRunners& effect, TimePoint until);
   void Perform(int node, const dispatch::PollRunner& poll);
@@ -257,47 +268,50 @@
   void Perform(int node, const dispatch::SetReady& effect);
   void Perform(int node, const dispatch::WriteLog& log);
   void Perform(int node, const dispatch::Exit&);
-  /// Notes an answer by which a node may learn that it still schedules.
+  /// Records store responses that show a node whether it still holds the
+  /// scheduler lease.
   void RecordConfirmation(Process* process, const dispatch::EventBody& body);
-  /// Has the oracle check that a node which stood still acts on nothing before
-  /// it knows whether it still schedules.
+  /// Reports a violation if a node acts on a runner after a long pause before
+  /// it knows whether it still holds the scheduler lease.
   void CheckLeadershipConfirmed(int node, const char* what);
   /// True while the node's calls don't reach the store.
   bool IsCutOffFromStore(int node) const;
   bool IsPartitionDown(const std::string& partition) const {
     return faults_.partitions_down.count(partition) != 0;
   }
-  /// Carries a call to the store out; the answer comes later or never.
+  /// Executes a call to the store after the simulated delays, and delivers its
+  /// result, or `lost` at the timeout if the store or the response is lost.
   template <typename Answer>
   void CallStore(int node, Duration timeout, std::function<Answer()> execute,
                  Answer lost, Duration queued = Duration(0));
   void WatchChanges(int node, int incarnation,
                     const dispatch::AwaitChanges& effect, TimePoint until);
-  /// The whole catalog, or the news that nothing changed.
+  /// Delivers the whole catalog (`snapshot`), or that it has not changed.
   void SendCatalog(int node, Duration after, bool snapshot);
   void AnswerPoll(int node, int incarnation, const dispatch::PollRunner& poll,
                   TimePoint until, const dispatch::IncarnationId& waiting_at);
-  /// The look gets no answer.
+  /// The poll gets no response.
   void LosePoll(int node, int incarnation, const dispatch::PollRunner& poll);
-  /// A look that got no answer comes to whatever runner is there by now.
+  /// Delivers a poll that got no response to whatever runner is at its address
+  /// now.
   void DeliverLatePoll(const dispatch::PollRunner& poll);
-  /// Tells the oracle of a look that a runner answered.
+  /// Reports a poll that a runner answered to the oracle.
   void RecordPoll(const dispatch::PollRunner& poll,
                   const dispatch::RunnerPolled& answer,
                   const EmulatedRunner& runner);
-  /// How late an order without an answer is carried out.
+  /// Returns a random delay for an order without a response.
   Duration LateOrderDelay();
-  /// Has a runner carry an order out that was sent at a moment.
+  /// Makes a runner execute an order; the time is when the order was sent.
   template <typename Answer>
   using OrderHandler = std::function<Answer(EmulatedRunner*, TimePoint)>;
   template <typename Answer, typename Order>
   void SendOrder(int node, const Order& order, Answer answer,
                  const OrderHandler<Answer>& execute);
-  /// Sends an order at once, whatever its lane.
+  /// Sends an order immediately, without queueing it in its lane.
   template <typename Answer, typename Order>
   void SendOrderNow(int node, const Order& order, Answer answer,
                     const OrderHandler<Answer>& execute);
-  /// Sends the next order of a lane, if there is one.
+  /// Removes the completed order from its lane and sends the next one, if any.
   void FinishOrder(int node, int incarnation,
                    const dispatch::IncarnationId& runner);
   void HandleResponse(const dispatch::RespondToCall& answer);
@@ -306,31 +320,33 @@
   CallId SendCall(dispatch::CallReceived call,
                   std::function<void(const dispatch::RespondToCall*)> done);
 
-  /// What a life of a runner says of itself when it begins.
+  /// Returns what an incarnation of a runner reports about itself at its start.
   dispatch::RunnerInfo DescribeRunner(int index, int incarnation) const;
   void AddRunner(int index, int incarnation);
   void RemoveRunner(const RunnerId& runner, Duration down);
-  /// Removes the runner at that address if a task crashed it by now.
+  /// Removes the runner at that address if a task has crashed it.
   void DropIfCrashed(const std::string& address);
-  /// The same for all of them.
+  /// Removes all runners that a task has crashed.
   void DropCrashed();
   bool IsReachable(const RunnerId& runner) const;
-  /// True if calls get through to the runner, and it answers them.
+  /// True if calls reach the runner and it answers them.
   bool Responds(const RunnerId& runner) const;
-  /// True while any party is disturbed. Runners that leave as they said do not
-  /// count.
+  /// True while a node is down, paused or shutting down, or a fault is
+  /// injected. Runners that leave as announced do not count.
   bool HasActiveFault() const;
-  /// Has the oracle check what runs, again and again.
+  /// Schedules the periodic check for runs of cancelled jobs.
   void ScheduleCancelCheck();
-  /// All runs that go on now.
+  /// Returns all active runs.
   std::vector<RunName> ActiveRuns();
-  /// Has the oracle check that the runner's hall is not to be emptied for long.
+  /// Reports a violation if the runner's hall was drained too long ago for the
+  /// start.
   void CheckHallNotDrained(const EmulatedRunner& runner,
                            const dispatch::StartRun& order);
-  /// Has the oracle check what a runner that does not guard its room holds.
+  /// Reports a violation if runners do not enforce their capacity and the start
+  /// exceeds it.
   void CheckCapacity(const EmulatedRunner& runner,
                      const dispatch::StartRun& order, TimePoint sent_at);
-  /// Has the oracle check a start that a runner carried out.
+  /// Checks a start that a runner executed, and reports it to the oracle.
   void CheckStart(const EmulatedRunner& runner, const dispatch::StartRun& order,
                   TimePoint sent_at);
   void Trace(const std::string& what);
@@ -348,16 +364,16 @@
   ReducerUse reducer_use_;
   CrashCount crashes_;
   CapacityHistory capacity_history_;
-  /// Halls that are to be emptied, and since when.
+  /// Drained halls, and since when.
   std::map<HallId, TimePoint> drained_halls_;
-  /// Entries of runners that crashed, until they lapse.
+  /// Entries of crashed runners, and when they expire.
   std::map<RunnerId, std::pair<dispatch::RunnerInfo, TimePoint>>
       expiring_entries_;
-  /// When a node last began or ceased to schedule.
+  /// When a node last became or ceased to be the leader.
   TimePoint leader_changed_at_;
-  /// When entries of runners that began anew tell of them.
+  /// From when on the list contains the entry of a restarted runner.
   std::map<RunnerId, TimePoint> listed_from_;
-  /// Lives that began at each place.
+  /// Number of the newest incarnation of each runner index.
   std::map<int, int> incarnations_;
   std::size_t longest_order_lane_ = 0;
   GangRegistry gang_registry_;
