--- a/src/emulator/capacity_history.h
+++ b/src/emulator/capacity_history.h
@@ -29,25 +29,25 @@
   /// Records that the runner's capacity changes from `before` to another value.
   void RecordChange(const RunnerId& runner, const dispatch::Resources& before,
                     TimePoint now) {
-    former_[runner].emplace_back(before, now + notice_);
+    former_capacities_[runner].emplace_back(before, now + notice_);
   }
   /// Returns true if a start that was sent at `sent_at` may bring the capacity
   /// in use to `used`.
   bool Allows(const dispatch::RunnerInfo& info, const dispatch::Resources& used,
               TimePoint sent_at) const {
     if (used.Fits(info.room)) return true;
-    const auto former = former_.find(info.id);
-    if (former == former_.end()) return false;
-    return std::any_of(former->second.begin(), former->second.end(),
-                       [&](const auto& room) {
-                         return sent_at < room.second && used.Fits(room.first);
-                       });
+    const auto found = former_capacities_.find(info.id);
+    if (found == former_capacities_.end()) return false;
+    return std::any_of(
+        found->second.begin(), found->second.end(), [&](const auto& entry) {
+          return sent_at < entry.second && used.Fits(entry.first);
+        });
   }
 
  private:
   Duration notice_;
   std::map<RunnerId, std::vector<std::pair<dispatch::Resources, TimePoint>>>
-      former_;
+      former_capacities_;
 };
 
 }  // namespace limeledge::emulator
--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -42,9 +42,10 @@
     break;
   }
   const int incarnation = processes_[node].incarnation;
-  At(now_ + options_.network,
-     [this, node, incarnation, call] { Deliver(node, incarnation, call); });
-  At(now_ + kCallerDeadline, [this, id] {
+  Schedule(now_ + options_.network, [this, node, incarnation, call] {
+    Deliver(node, incarnation, call);
+  });
+  Schedule(now_ + kCallerDeadline, [this, id] {
     const auto open = calls_.find(id);
     if (open == calls_.end()) return;
     const auto unanswered = std::move(open->second);
@@ -87,7 +88,7 @@
     const bool refused =
         answer != nullptr && answer->result == CallResult::kNotAccepted;
     if (!refused) submitted.may_be_accepted = true;
-    At(now_ + kCallerRetry, [this, job] { SendSubmit(job); });
+    Schedule(now_ + kCallerRetry, [this, job] { SendSubmit(job); });
   });
 }
 
@@ -110,7 +111,7 @@
       oracle_.RecordCancellation(job, now_);
       return;
     }
-    At(now_ + kCallerRetry, [this, job] { SendCancel(job); });
+    Schedule(now_ + kCallerRetry, [this, job] { SendCancel(job); });
   });
 }
 
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -61,12 +61,13 @@
   }
   const Duration delay =
       answer.answered ? options_.network * 2 : request.timeout;
-  At(now_ + delay,
-     [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
+  Schedule(now_ + delay, [this, node, incarnation, answer] {
+    Deliver(node, incarnation, answer);
+  });
 }
 
 void EmulatedSystem::Perform(int, const dispatch::RespondToCall& answer) {
-  At(now_ + options_.network, [this, answer] { HandleResponse(answer); });
+  Schedule(now_ + options_.network, [this, answer] { HandleResponse(answer); });
 }
 
 void EmulatedSystem::Perform(int, const dispatch::RespondWithState&) {
@@ -86,11 +87,12 @@
   const int incarnation = processes_[node].incarnation;
   const TimePoint sent = now_;
   const auto deliver_lost = [this, node, incarnation, lost](TimePoint at) {
-    At(at,
-       [this, node, incarnation, lost] { Deliver(node, incarnation, lost); });
+    Schedule(at, [this, node, incarnation, lost] {
+      Deliver(node, incarnation, lost);
+    });
   };
   const Duration work = options_.store_time * faults_.store_slowness + queued;
-  At(now_ + options_.network + work, [=] {
+  Schedule(now_ + options_.network + work, [=] {
     const bool unavailable = IsCutOffFromStore(node);
     if (unavailable) {
       deliver_lost(sent + timeout);
@@ -102,7 +104,7 @@
       deliver_lost(std::max(sent + timeout, now_));
       return;
     }
-    At(now_ + options_.network, [this, node, incarnation, answer] {
+    Schedule(now_ + options_.network, [this, node, incarnation, answer] {
       Deliver(node, incarnation, answer);
     });
   });
@@ -113,7 +115,7 @@
   lost.ticket = commit.ticket;
   ++commits_;
   if (commit.lane == dispatch::StoreLane::kLeader) {
-    processes_[node].own_writes[commit.ticket] = now_;
+    processes_[node].lease_writes[commit.ticket] = now_;
   }
   // Each partition applies its transactions one at a time.
   TimePoint& free_at = partition_free_at_[commit.transaction.partition];
@@ -122,10 +124,10 @@
                        free_at - now_ > kMaxPartitionQueue;
   if (refused) {
     lost.outcome = StoreOutcome::kNotApplied;
-    At(now_ + options_.network * 2,
-       [this, node, incarnation = processes_[node].incarnation, lost] {
-         Deliver(node, incarnation, lost);
-       });
+    Schedule(now_ + options_.network * 2,
+             [this, node, incarnation = processes_[node].incarnation, lost] {
+               Deliver(node, incarnation, lost);
+             });
     return;
   }
   free_at = free_at + options_.transaction_time * faults_.store_slowness;
@@ -176,13 +178,14 @@
       now_ < until && (unavailable || (answer.rows.empty() &&
                                        answer.outcome == StoreOutcome::kDone));
   if (waits) {
-    At(now_ + kWatchInterval, [this, node, incarnation, effect, until] {
+    Schedule(now_ + kWatchInterval, [this, node, incarnation, effect, until] {
       WatchChanges(node, incarnation, effect, until);
     });
     return;
   }
-  At(now_ + options_.network,
-     [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
+  Schedule(now_ + options_.network, [this, node, incarnation, answer] {
+    Deliver(node, incarnation, answer);
+  });
 }
 
 void EmulatedSystem::Perform(int node, const dispatch::ReadCatalog&) {
@@ -195,7 +198,7 @@
 
 void EmulatedSystem::SendCatalog(int node, Duration after, bool snapshot) {
   const int incarnation = processes_[node].incarnation;
-  At(now_ + after, [this, node, incarnation, snapshot] {
+  Schedule(now_ + after, [this, node, incarnation, snapshot] {
     const bool unavailable = IsCutOffFromStore(node);
     dispatch::CatalogReceived answer;
     answer.outcome =
@@ -262,12 +265,12 @@
       lost ? dispatch::RunnersListed() : RunnerChanges(process.runner_list);
   const bool changed = !changes.runners.empty() || !changes.removed.empty();
   if (now_ < until && !changed) {
-    At(now_ + kWatchInterval, [this, node, incarnation, effect, until] {
+    Schedule(now_ + kWatchInterval, [this, node, incarnation, effect, until] {
       WatchRunners(node, incarnation, effect, until);
     });
     return;
   }
-  At(now_ + options_.network, [this, node, incarnation, changes] {
+  Schedule(now_ + options_.network, [this, node, incarnation, changes] {
     Process& later = processes_[node];
     if (later.incarnation == incarnation && changes.ok)
       Apply(changes, &later.runner_list);
--- a/src/emulator/emulated_oracle.cc
+++ b/src/emulator/emulated_oracle.cc
@@ -72,7 +72,7 @@
 }
 
 void EmulatedSystem::ScheduleCancelCheck() {
-  At(now_ + kCancelCheckInterval, [this] {
+  Schedule(now_ + kCancelCheckInterval, [this] {
     DropCrashed();
     if (HasActiveFault()) oracle_.RecordFault(now_);
     if (!faults_.mute_runners.empty()) oracle_.RecordMuteRunner(now_);
@@ -89,8 +89,8 @@
                                         const dispatch::EventBody& body) {
   const auto* answer = std::get_if<dispatch::CommitCompleted>(&body);
   if (answer == nullptr) return;
-  const auto sent = process->own_writes.find(answer->ticket);
-  if (sent == process->own_writes.end()) return;
+  const auto sent = process->lease_writes.find(answer->ticket);
+  if (sent == process->lease_writes.end()) return;
   // A write that was sent before the pause ended confirms nothing about the
   // lease after the pause.
   const bool after_pause = sent->second >= process->paused_until;
@@ -98,7 +98,7 @@
                     answer->outcome == dispatch::StoreOutcome::kConflict;
   process->leadership_confirmed =
       process->leadership_confirmed || (after_pause && done);
-  process->own_writes.erase(sent);
+  process->lease_writes.erase(sent);
 }
 
 void EmulatedSystem::CheckLeadershipConfirmed(int node, const char* what) {
@@ -160,8 +160,9 @@
   const std::optional<Duration> crash =
       oracle_.TruthOf(order.task).crashes_after;
   if (crash.has_value()) {
-    At(now_ + *crash + Duration(1),
-       [this, address = order.target.address] { DropIfCrashed(address); });
+    Schedule(
+        now_ + *crash + Duration(1),
+        [this, address = order.target.address] { DropIfCrashed(address); });
   }
   oracle_.CheckRunning(ActiveRuns());
 }
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -49,10 +49,10 @@
   }
   if (Happens(faults_.polls_late)) {
     LosePoll(node, incarnation, poll);
-    At(now_ + LateOrderDelay(), [this, poll] { DeliverLatePoll(poll); });
+    Schedule(now_ + LateOrderDelay(), [this, poll] { DeliverLatePoll(poll); });
     return;
   }
-  At(now_ + options_.network, [this, node, incarnation, poll] {
+  Schedule(now_ + options_.network, [this, node, incarnation, poll] {
     AnswerPoll(node, incarnation, poll, now_ + poll.wait,
                dispatch::IncarnationId());
   });
@@ -64,13 +64,14 @@
   lost.asked = poll.target.incarnation;
   lost.number = poll.number;
   lost.epoch = poll.target.epoch;
-  At(now_ + poll.wait + kOrderTimeout,
-     [this, node, incarnation, lost] { Deliver(node, incarnation, lost); });
+  Schedule(now_ + poll.wait + kOrderTimeout, [this, node, incarnation, lost] {
+    Deliver(node, incarnation, lost);
+  });
 }
 
 Duration EmulatedSystem::LateOrderDelay() {
   return Duration(static_cast<std::int64_t>(
-      Chance() * static_cast<double>(faults_.late_order.ms())));
+      RandomFraction() * static_cast<double>(faults_.late_order.ms())));
 }
 
 void EmulatedSystem::DeliverLatePoll(const dispatch::PollRunner& poll) {
@@ -111,10 +112,10 @@
   if (at == runner_at_.end() || !Responds(id) || !Responds(at->second)) {
     const bool dead = at == runner_at_.end() && IsReachable(id);
     answer.outcome = dead ? OrderOutcome::kNotSent : OrderOutcome::kLost;
-    At(now_ + (dead ? options_.network : kOrderTimeout),
-       [this, node, incarnation, answer] {
-         Deliver(node, incarnation, answer);
-       });
+    Schedule(now_ + (dead ? options_.network : kOrderTimeout),
+             [this, node, incarnation, answer] {
+               Deliver(node, incarnation, answer);
+             });
     return;
   }
   EmulatedRunner* runner = FindRunner(at->second);
@@ -125,7 +126,7 @@
     // The incarnation at which the poll waited has ended, which closed the
     // connection.
     answer.outcome = OrderOutcome::kLost;
-    At(now_ + options_.network, [this, node, incarnation, answer] {
+    Schedule(now_ + options_.network, [this, node, incarnation, answer] {
       Deliver(node, incarnation, answer);
     });
     return;
@@ -138,15 +139,16 @@
   if (waits) {
     dispatch::PollRunner retry = poll;
     retry.until_ms = 0;
-    At(now_ + kPollRetryInterval,
-       [this, node, incarnation, retry, until, current] {
-         AnswerPoll(node, incarnation, retry, until, current);
-       });
+    Schedule(now_ + kPollRetryInterval,
+             [this, node, incarnation, retry, until, current] {
+               AnswerPoll(node, incarnation, retry, until, current);
+             });
     return;
   }
   RecordPoll(poll, answer, *runner);
-  At(now_ + options_.network,
-     [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
+  Schedule(now_ + options_.network, [this, node, incarnation, answer] {
+    Deliver(node, incarnation, answer);
+  });
 }
 
 void EmulatedSystem::Perform(int node, const dispatch::RequestAdvice& request) {
@@ -170,8 +172,9 @@
     }
   }
   const int incarnation = processes_[node].incarnation;
-  At(now_ + kAdviceTime,
-     [this, node, incarnation, answer] { Deliver(node, incarnation, answer); });
+  Schedule(now_ + kAdviceTime, [this, node, incarnation, answer] {
+    Deliver(node, incarnation, answer);
+  });
 }
 
 template <typename Answer, typename Order>
@@ -201,7 +204,7 @@
   const std::string address = order.target.address;
   const auto reply = [this, node, incarnation, recipient](Duration after,
                                                           Answer body) {
-    At(now_ + after, [this, node, incarnation, recipient, body] {
+    Schedule(now_ + after, [this, node, incarnation, recipient, body] {
       FinishOrder(node, incarnation, recipient);
       Deliver(node, incarnation, body);
     });
@@ -218,7 +221,7 @@
     return body;
   };
   if (Happens(faults_.orders_lost)) {
-    At(now_ + LateOrderDelay(), [arrive] {
+    Schedule(now_ + LateOrderDelay(), [arrive] {
       bool responded = false;
       arrive(&responded);
     });
@@ -228,12 +231,12 @@
   constexpr bool kIsStart = std::is_same_v<Order, dispatch::StartRun>;
   const bool repeated = Happens(kIsStart ? faults_.starts_repeated : 0);
   if (repeated) {
-    At(now_ + LateOrderDelay(), [arrive] {
+    Schedule(now_ + LateOrderDelay(), [arrive] {
       bool responded = false;
       arrive(&responded);
     });
   }
-  At(now_ + options_.network, [this, arrive, reply, answer, repeated] {
+  Schedule(now_ + options_.network, [this, arrive, reply, answer, repeated] {
     bool responded = false;
     Answer body = arrive(&responded);
     SetEarlierAttemptPending(repeated, &body);
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -25,7 +25,7 @@
 /// longer than the pauses of a slow machine.
 constexpr Duration kLongPause{1500};
 
-constexpr std::int64_t kWallStart = 1700000000000;
+constexpr std::int64_t kWallClockStart = 1700000000000;
 
 CancelBounds CancelBoundsFor(const RunnerBounds& runner) {
   CancelBounds bounds;
@@ -57,13 +57,13 @@
   runners_.clear();
 }
 
-void EmulatedSystem::At(TimePoint at, std::function<void()> run) {
+void EmulatedSystem::Schedule(TimePoint at, std::function<void()> run) {
   actions_.push({std::max(at, now_), ++order_, std::move(run)});
 }
 
-double EmulatedSystem::Chance() {
-  constexpr double kSteps = 1 << 30;
-  return static_cast<double>(random_() >> 34) / kSteps;
+double EmulatedSystem::RandomFraction() {
+  constexpr double kRange = 1 << 30;
+  return static_cast<double>(random_() >> 34) / kRange;
 }
 
 void EmulatedSystem::Run(Duration time) {
@@ -86,7 +86,7 @@
   process.timer_at = TimePoint();
   process.frozen_until = TimePoint();
   process.leadership_confirmed = true;
-  process.own_writes.clear();
+  process.lease_writes.clear();
   process.stopping = false;
   oracle_.RecordFault(now_);
   dispatch::NodeOptions options;
@@ -107,7 +107,7 @@
   process.node = nullptr;
   process.ready = false;
   process.order_lanes.clear();
-  At(now_ + down, [this, node, incarnation = process.incarnation] {
+  Schedule(now_ + down, [this, node, incarnation = process.incarnation] {
     if (processes_[node].incarnation == incarnation) StartNode(node);
   });
 }
@@ -130,7 +130,8 @@
     process.paused_until = process.frozen_until;
     process.leadership_confirmed = false;
   }
-  At(process.frozen_until, [this, node, incarnation = process.incarnation] {
+  Schedule(process.frozen_until, [this, node,
+                                  incarnation = process.incarnation] {
     const Process& frozen = processes_[node];
     if (frozen.incarnation != incarnation || now_ < frozen.frozen_until) return;
     std::vector<dispatch::EventBody> held = std::move(processes_[node].held);
@@ -170,8 +171,8 @@
   RecordConfirmation(&process, body);
   const int incarnation = process.incarnation;
   const auto started = std::chrono::steady_clock::now();
-  const dispatch::Effects effects =
-      process.node->Reduce({now_, kWallStart + now_.ms(), std::move(body)});
+  const dispatch::Effects effects = process.node->Reduce(
+      {now_, kWallClockStart + now_.ms(), std::move(body)});
   reducer_use_.time += std::chrono::steady_clock::now() - started;
   ++reducer_use_.events;
   for (const dispatch::Effect& effect : effects) {
@@ -184,7 +185,7 @@
       process.timer_at > now_ && process.timer_at <= next;
   if (next >= dispatch::kNever || earlier_timer_set) return;
   process.timer_at = next;
-  At(next, [this, node, incarnation, next] {
+  Schedule(next, [this, node, incarnation, next] {
     Process& later = processes_[node];
     if (later.incarnation == incarnation && later.timer_at == next) {
       later.timer_at = TimePoint();
@@ -201,7 +202,7 @@
   const int id_incarnation = options_.keeps_ids ? 1 : incarnation;
   info.id = RunnerId(absl::StrCat("i-", index, "-", id_incarnation));
   info.start_time =
-      dispatch::StartTime(kWallStart + now_.ms() +
+      dispatch::StartTime(kWallClockStart + now_.ms() +
                           options_.start_time_skew.ms() * (incarnation - 1));
   info.service = dispatch::ServiceId("compute");
   info.address = absl::StrCat("10.0.0.", index, ":80");
@@ -257,8 +258,8 @@
   runners_.erase(found);
   runner_at_.erase(removed_runner->info().address);
   removed_runner = nullptr;
-  At(now_ + down,
-     [this, index, incarnation] { AddRunner(index, incarnation + 1); });
+  Schedule(now_ + down,
+           [this, index, incarnation] { AddRunner(index, incarnation + 1); });
 }
 
 void EmulatedSystem::DropIfCrashed(const std::string& address) {
@@ -309,7 +310,8 @@
   if (found == nullptr) return;
   found->info().draining = true;
   found->info().leaves_in = time;
-  At(now_ + time, [this, runner] { RemoveRunner(runner, Duration(1000)); });
+  Schedule(now_ + time,
+           [this, runner] { RemoveRunner(runner, Duration(1000)); });
 }
 
 bool EmulatedSystem::IsReachable(const RunnerId& runner) const {
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -218,7 +218,7 @@
     TimePoint paused_until;
     bool leadership_confirmed = true;
     /// When each write that depends on the scheduler lease was sent.
-    std::map<dispatch::Ticket, TimePoint> own_writes;
+    std::map<dispatch::Ticket, TimePoint> lease_writes;
     /// A shutdown was requested, and the process has not restarted.
     bool stopping = false;
     bool removed = false;
@@ -237,9 +237,14 @@
     }
   };
 
-  void At(TimePoint at, std::function<void()> run);
-  double Chance();
-  bool Happens(double share) { return share > 0 && Chance() < share; }
+  /// Schedules an action for a time, or for now if that is past. Actions for
+  /// the same time run in the order in which they were scheduled.
+  void Schedule(TimePoint at, std::function<void()> run);
+  /// Returns a random number in the range [0, 1).
+  double RandomFraction();
+  bool Happens(double probability) {
+    return probability > 0 && RandomFraction() < probability;
+  }
 
   void StartNode(int node);
   void Deliver(int node, int incarnation, dispatch::EventBody body);
