--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -48,7 +48,7 @@
   bool guards_room = true;
 };
 
-/// Identifies a run of a task by its number.
+/// Identifies a run by its task and its number within the task.
 struct RunName {
   dispatch::TaskName task;
   int number = 0;
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -82,7 +82,7 @@
 void EmulatedSystem::StartNode(int node) {
   Process& process = processes_[node];
   ++process.incarnation;
-  process.held.clear();
+  process.held_events.clear();
   process.timer_at = TimePoint();
   process.frozen_until = TimePoint();
   process.leadership_confirmed = true;
@@ -130,14 +130,17 @@
     process.paused_until = process.frozen_until;
     process.leadership_confirmed = false;
   }
-  Schedule(process.frozen_until, [this, node,
-                                  incarnation = process.incarnation] {
-    const Process& frozen = processes_[node];
-    if (frozen.incarnation != incarnation || now_ < frozen.frozen_until) return;
-    std::vector<dispatch::EventBody> held = std::move(processes_[node].held);
-    processes_[node].held.clear();
-    for (dispatch::EventBody& body : held) Reduce(node, std::move(body));
-  });
+  Schedule(
+      process.frozen_until, [this, node, incarnation = process.incarnation] {
+        const Process& frozen = processes_[node];
+        if (frozen.incarnation != incarnation || now_ < frozen.frozen_until)
+          return;
+        std::vector<dispatch::EventBody> held_events =
+            std::move(processes_[node].held_events);
+        processes_[node].held_events.clear();
+        for (dispatch::EventBody& body : held_events)
+          Reduce(node, std::move(body));
+      });
 }
 
 void EmulatedSystem::StopNode(int node) {
@@ -159,7 +162,7 @@
   Process& process = processes_[node];
   if (process.incarnation != incarnation || process.node == nullptr) return;
   if (now_ < process.frozen_until) {
-    process.held.push_back(std::move(body));
+    process.held_events.push_back(std::move(body));
     return;
   }
   Reduce(node, std::move(body));
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -202,7 +202,7 @@
       bool draining = false;
       dispatch::Resources room;
     };
-    /// What each runner said of itself.
+    /// Contents of each runner's entry.
     std::map<RunnerId, Entry> entries;
   };
   struct Process {
@@ -211,7 +211,7 @@
     /// are dropped.
     int incarnation = 0;
     TimePoint frozen_until;
-    std::vector<dispatch::EventBody> held;
+    std::vector<dispatch::EventBody> held_events;
     bool ready = false;
     /// End of the last long pause, and whether the store has confirmed since
     /// then that the node holds the scheduler lease.
--- a/src/emulator/promise_oracle.h
+++ b/src/emulator/promise_oracle.h
@@ -58,7 +58,7 @@
   /// Runs of the job's tasks that runners have reported as failed.
   int reported_failures = 0;
   /// Per task, the runners that it crashed, and its starts after it had crashed
-  /// the maximum number of them.
+  /// as many as the oracle tolerates.
   std::map<dispatch::TaskName, int> crashes;
   std::map<dispatch::TaskName, int> starts_after_crashes;
   /// Per task, the runners that crashed while they executed it, whatever the
@@ -71,9 +71,8 @@
 /// Checks every start and every acknowledged end against these invariants:
 /// - only tasks of submitted jobs run;
 /// - no task has two runs at a time;
-/// - no task starts again after a run whose end as done is acknowledged, even
-/// if
-///   the acknowledgement comes after the start;
+/// - no task starts again after a run that is acknowledged as done, even if the
+///   acknowledgement comes after the start;
 /// - no task starts before the preceding steps are done;
 /// - no task starts again after all of its attempts have failed;
 /// - a task that has crashed several runners is not restarted indefinitely;
