--- a/src/emulator/promise_oracle.cc
+++ b/src/emulator/promise_oracle.cc
@@ -125,11 +125,11 @@
   if (!job->second.cancelled_at.has_value()) return std::nullopt;
   TimePoint from = *job->second.cancelled_at;
   if (last_fault_.has_value()) {
-    from = std::max(from, *last_fault_ + cancel_.undisturbed);
+    from = std::max(from, *last_fault_ + cancel_.recovery);
   }
   const auto late = late_starts_.find(run);
   if (late != late_starts_.end()) {
-    from = std::max(from, late->second + cancel_.undisturbed);
+    from = std::max(from, late->second + cancel_.recovery);
   }
   return now - from;
 }
@@ -145,7 +145,7 @@
 void PromiseOracle::CheckCancelledRuns(const std::vector<RunName>& runs,
                                        TimePoint now) {
   const Duration excused_time =
-      cancel_.undisturbed + cancel_.notice + cancel_.stop;
+      cancel_.recovery + cancel_.notice + cancel_.stop;
   const bool excused =
       last_mute_runner_.has_value() && now - *last_mute_runner_ <= excused_time;
   if (excused) return;
