--- a/src/emulator/emulated_callers.cc
+++ b/src/emulator/emulated_callers.cc
@@ -42,10 +42,9 @@
     break;
   }
   const int incarnation = processes_[node].incarnation;
-  Schedule(now_ + options_.network, [this, node, incarnation, call] {
-    Deliver(node, incarnation, call);
-  });
-  Schedule(now_ + kCallerDeadline, [this, id] {
+  RunAt(now_ + options_.network,
+        [this, node, incarnation, call] { Deliver(node, incarnation, call); });
+  RunAt(now_ + kCallerDeadline, [this, id] {
     const auto open = calls_.find(id);
     if (open == calls_.end()) return;
     const auto unanswered = std::move(open->second);
@@ -88,7 +87,7 @@
     const bool refused =
         answer != nullptr && answer->result == CallResult::kNotAccepted;
     if (!refused) submitted.may_be_accepted = true;
-    Schedule(now_ + kCallerRetry, [this, job] { SendSubmit(job); });
+    RunAt(now_ + kCallerRetry, [this, job] { SendSubmit(job); });
   });
 }
 
@@ -111,7 +110,7 @@
       oracle_.RecordCancellation(job, now_);
       return;
     }
-    Schedule(now_ + kCallerRetry, [this, job] { SendCancel(job); });
+    RunAt(now_ + kCallerRetry, [this, job] { SendCancel(job); });
   });
 }
 
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -61,13 +61,13 @@
   }
   const Duration delay =
       answer.answered ? options_.network * 2 : request.timeout;
-  Schedule(now_ + delay, [this, node, incarnation, answer] {
+  RunAt(now_ + delay, [this, node, incarnation, answer] {
     Deliver(node, incarnation, answer);
   });
 }
 
 void EmulatedSystem::Perform(int, const dispatch::RespondToCall& answer) {
-  Schedule(now_ + options_.network, [this, answer] { HandleResponse(answer); });
+  RunAt(now_ + options_.network, [this, answer] { HandleResponse(answer); });
 }
 
 void EmulatedSystem::Perform(int, const dispatch::RespondWithState&) {
@@ -87,12 +87,12 @@
   const int incarnation = processes_[node].incarnation;
   const TimePoint sent = now_;
   const auto deliver_lost = [this, node, incarnation, lost](TimePoint at) {
-    Schedule(at, [this, node, incarnation, lost] {
+    RunAt(at, [this, node, incarnation, lost] {
       Deliver(node, incarnation, lost);
     });
   };
   const Duration work = options_.store_time * faults_.store_slowness + queued;
-  Schedule(now_ + options_.network + work, [=] {
+  RunAt(now_ + options_.network + work, [=] {
     const bool unavailable = IsCutOffFromStore(node);
     if (unavailable) {
       deliver_lost(sent + timeout);
@@ -104,7 +104,7 @@
       deliver_lost(std::max(sent + timeout, now_));
       return;
     }
-    Schedule(now_ + options_.network, [this, node, incarnation, answer] {
+    RunAt(now_ + options_.network, [this, node, incarnation, answer] {
       Deliver(node, incarnation, answer);
     });
   });
@@ -124,10 +124,10 @@
                        free_at - now_ > kMaxPartitionQueue;
   if (refused) {
     lost.outcome = StoreOutcome::kNotApplied;
-    Schedule(now_ + options_.network * 2,
-             [this, node, incarnation = processes_[node].incarnation, lost] {
-               Deliver(node, incarnation, lost);
-             });
+    RunAt(now_ + options_.network * 2,
+          [this, node, incarnation = processes_[node].incarnation, lost] {
+            Deliver(node, incarnation, lost);
+          });
     return;
   }
   free_at = free_at + options_.transaction_time * faults_.store_slowness;
@@ -178,12 +178,12 @@
       now_ < until && (unavailable || (answer.rows.empty() &&
                                        answer.outcome == StoreOutcome::kDone));
   if (waits) {
-    Schedule(now_ + kWatchInterval, [this, node, incarnation, effect, until] {
+    RunAt(now_ + kWatchInterval, [this, node, incarnation, effect, until] {
       WatchChanges(node, incarnation, effect, until);
     });
     return;
   }
-  Schedule(now_ + options_.network, [this, node, incarnation, answer] {
+  RunAt(now_ + options_.network, [this, node, incarnation, answer] {
     Deliver(node, incarnation, answer);
   });
 }
@@ -198,7 +198,7 @@
 
 void EmulatedSystem::SendCatalog(int node, Duration after, bool snapshot) {
   const int incarnation = processes_[node].incarnation;
-  Schedule(now_ + after, [this, node, incarnation, snapshot] {
+  RunAt(now_ + after, [this, node, incarnation, snapshot] {
     const bool unavailable = IsCutOffFromStore(node);
     dispatch::CatalogReceived answer;
     answer.outcome =
@@ -265,12 +265,12 @@
       lost ? dispatch::RunnersListed() : RunnerChanges(process.runner_list);
   const bool changed = !changes.runners.empty() || !changes.removed.empty();
   if (now_ < until && !changed) {
-    Schedule(now_ + kWatchInterval, [this, node, incarnation, effect, until] {
+    RunAt(now_ + kWatchInterval, [this, node, incarnation, effect, until] {
       WatchRunners(node, incarnation, effect, until);
     });
     return;
   }
-  Schedule(now_ + options_.network, [this, node, incarnation, changes] {
+  RunAt(now_ + options_.network, [this, node, incarnation, changes] {
     Process& later = processes_[node];
     if (later.incarnation == incarnation && changes.ok)
       Apply(changes, &later.runner_list);
--- a/src/emulator/emulated_oracle.cc
+++ b/src/emulator/emulated_oracle.cc
@@ -72,7 +72,7 @@
 }
 
 void EmulatedSystem::ScheduleCancelCheck() {
-  Schedule(now_ + kCancelCheckInterval, [this] {
+  RunAt(now_ + kCancelCheckInterval, [this] {
     DropCrashed();
     if (HasActiveFault()) oracle_.RecordFault(now_);
     if (!faults_.mute_runners.empty()) oracle_.RecordMuteRunner(now_);
@@ -160,9 +160,8 @@
   const std::optional<Duration> crash =
       oracle_.TruthOf(order.task).crashes_after;
   if (crash.has_value()) {
-    Schedule(
-        now_ + *crash + Duration(1),
-        [this, address = order.target.address] { DropIfCrashed(address); });
+    RunAt(now_ + *crash + Duration(1),
+          [this, address = order.target.address] { DropIfCrashed(address); });
   }
   oracle_.CheckRunning(ActiveRuns());
 }
--- a/src/emulator/emulated_orders.cc
+++ b/src/emulator/emulated_orders.cc
@@ -49,10 +49,10 @@
   }
   if (Happens(faults_.polls_late)) {
     LosePoll(node, incarnation, poll);
-    Schedule(now_ + LateOrderDelay(), [this, poll] { DeliverLatePoll(poll); });
+    RunAt(now_ + LateOrderDelay(), [this, poll] { DeliverLatePoll(poll); });
     return;
   }
-  Schedule(now_ + options_.network, [this, node, incarnation, poll] {
+  RunAt(now_ + options_.network, [this, node, incarnation, poll] {
     AnswerPoll(node, incarnation, poll, now_ + poll.wait,
                dispatch::IncarnationId());
   });
@@ -64,9 +64,8 @@
   lost.asked = poll.target.incarnation;
   lost.number = poll.number;
   lost.epoch = poll.target.epoch;
-  Schedule(now_ + poll.wait + kOrderTimeout, [this, node, incarnation, lost] {
-    Deliver(node, incarnation, lost);
-  });
+  RunAt(now_ + poll.wait + kOrderTimeout,
+        [this, node, incarnation, lost] { Deliver(node, incarnation, lost); });
 }
 
 Duration EmulatedSystem::LateOrderDelay() {
@@ -112,10 +111,10 @@
   if (at == runner_at_.end() || !Responds(id) || !Responds(at->second)) {
     const bool dead = at == runner_at_.end() && IsReachable(id);
     answer.outcome = dead ? OrderOutcome::kNotSent : OrderOutcome::kLost;
-    Schedule(now_ + (dead ? options_.network : kOrderTimeout),
-             [this, node, incarnation, answer] {
-               Deliver(node, incarnation, answer);
-             });
+    RunAt(now_ + (dead ? options_.network : kOrderTimeout),
+          [this, node, incarnation, answer] {
+            Deliver(node, incarnation, answer);
+          });
     return;
   }
   EmulatedRunner* runner = FindRunner(at->second);
@@ -126,7 +125,7 @@
     // The incarnation at which the poll waited has ended, which closed the
     // connection.
     answer.outcome = OrderOutcome::kLost;
-    Schedule(now_ + options_.network, [this, node, incarnation, answer] {
+    RunAt(now_ + options_.network, [this, node, incarnation, answer] {
       Deliver(node, incarnation, answer);
     });
     return;
@@ -139,14 +138,14 @@
   if (waits) {
     dispatch::PollRunner retry = poll;
     retry.until_ms = 0;
-    Schedule(now_ + kPollRetryInterval,
-             [this, node, incarnation, retry, until, current] {
-               AnswerPoll(node, incarnation, retry, until, current);
-             });
+    RunAt(now_ + kPollRetryInterval,
+          [this, node, incarnation, retry, until, current] {
+            AnswerPoll(node, incarnation, retry, until, current);
+          });
     return;
   }
   RecordPoll(poll, answer, *runner);
-  Schedule(now_ + options_.network, [this, node, incarnation, answer] {
+  RunAt(now_ + options_.network, [this, node, incarnation, answer] {
     Deliver(node, incarnation, answer);
   });
 }
@@ -172,7 +171,7 @@
     }
   }
   const int incarnation = processes_[node].incarnation;
-  Schedule(now_ + kAdviceTime, [this, node, incarnation, answer] {
+  RunAt(now_ + kAdviceTime, [this, node, incarnation, answer] {
     Deliver(node, incarnation, answer);
   });
 }
@@ -204,7 +203,7 @@
   const std::string address = order.target.address;
   const auto reply = [this, node, incarnation, recipient](Duration after,
                                                           Answer body) {
-    Schedule(now_ + after, [this, node, incarnation, recipient, body] {
+    RunAt(now_ + after, [this, node, incarnation, recipient, body] {
       FinishOrder(node, incarnation, recipient);
       Deliver(node, incarnation, body);
     });
@@ -221,7 +220,7 @@
     return body;
   };
   if (Happens(faults_.orders_lost)) {
-    Schedule(now_ + LateOrderDelay(), [arrive] {
+    RunAt(now_ + LateOrderDelay(), [arrive] {
       bool responded = false;
       arrive(&responded);
     });
@@ -231,12 +230,12 @@
   constexpr bool kIsStart = std::is_same_v<Order, dispatch::StartRun>;
   const bool repeated = Happens(kIsStart ? faults_.starts_repeated : 0);
   if (repeated) {
-    Schedule(now_ + LateOrderDelay(), [arrive] {
+    RunAt(now_ + LateOrderDelay(), [arrive] {
       bool responded = false;
       arrive(&responded);
     });
   }
-  Schedule(now_ + options_.network, [this, arrive, reply, answer, repeated] {
+  RunAt(now_ + options_.network, [this, arrive, reply, answer, repeated] {
     bool responded = false;
     Answer body = arrive(&responded);
     SetEarlierAttemptPending(repeated, &body);
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -121,14 +121,14 @@
   }
   const auto save_ms = static_cast<double>(bounds_.save_interval.ms());
   if (truth.saves_progress && run->worked_ms - run->saved_ms >= save_ms) {
-    SaveCheckpoint(name, run);
+    Save(name, run);
   }
   if (run->worked_ms < static_cast<double>(truth.work.ms())) return;
   const bool fails = failing_ || truth.always_fails;
   End(name, fails ? RunEnd::kFailed : RunEnd::kDone);
 }
 
-void EmulatedRunner::SaveCheckpoint(const TaskName&, ActiveRun* run) {
+void EmulatedRunner::Save(const TaskName&, ActiveRun* run) {
   run->saved_ms = run->worked_ms;
   run->checkpoint = absl::StrCat(static_cast<std::int64_t>(run->worked_ms));
 }
@@ -171,8 +171,7 @@
   if (found == runs_.end()) return;
   ActiveRun run = std::move(found->second);
   runs_.erase(found);
-  if (run.truth.saves_progress && end == RunEnd::kStopped)
-    SaveCheckpoint(name, &run);
+  if (run.truth.saves_progress && end == RunEnd::kStopped) Save(name, &run);
   newest_closed_run_[name] = std::max(newest_closed_run_[name], run.number);
   expirations_at_end_[last_end_ + 1] = lease_expirations_;
   ended_.push_back({++last_end_, name, run.number, end, run.checkpoint});
@@ -371,11 +370,10 @@
   if (found == gangs_.end()) return;
   std::vector<Member> others = std::move(found->second);
   gangs_.erase(found);
-  const RunEnd others_end =
+  const RunEnd result =
       end == RunEnd::kDone ? RunEnd::kDone : RunEnd::kGangBroken;
   for (const Member& other : others) {
-    if (!(other.name == name))
-      other.runner->EndMember(other.name, run, others_end);
+    if (!(other.name == name)) other.runner->EndMember(other.name, run, result);
   }
 }
 
--- a/src/emulator/emulated_runner.h
+++ b/src/emulator/emulated_runner.h
@@ -154,7 +154,7 @@
   void AdvanceRun(const dispatch::TaskName& name, ActiveRun* run,
                   Duration step);
   void End(const dispatch::TaskName& name, dispatch::RunEnd end);
-  void SaveCheckpoint(const dispatch::TaskName& name, ActiveRun* run);
+  void Save(const dispatch::TaskName& name, ActiveRun* run);
 
   dispatch::RunnerInfo info_;
   RunnerBounds bounds_;
--- a/src/emulator/emulated_system.cc
+++ b/src/emulator/emulated_system.cc
@@ -57,7 +57,7 @@
   runners_.clear();
 }
 
-void EmulatedSystem::Schedule(TimePoint at, std::function<void()> run) {
+void EmulatedSystem::RunAt(TimePoint at, std::function<void()> run) {
   actions_.push({std::max(at, now_), ++order_, std::move(run)});
 }
 
@@ -107,7 +107,7 @@
   process.node = nullptr;
   process.ready = false;
   process.order_lanes.clear();
-  Schedule(now_ + down, [this, node, incarnation = process.incarnation] {
+  RunAt(now_ + down, [this, node, incarnation = process.incarnation] {
     if (processes_[node].incarnation == incarnation) StartNode(node);
   });
 }
@@ -130,17 +130,14 @@
     process.paused_until = process.frozen_until;
     process.leadership_confirmed = false;
   }
-  Schedule(
-      process.frozen_until, [this, node, incarnation = process.incarnation] {
-        const Process& frozen = processes_[node];
-        if (frozen.incarnation != incarnation || now_ < frozen.frozen_until)
-          return;
-        std::vector<dispatch::EventBody> held_events =
-            std::move(processes_[node].held_events);
-        processes_[node].held_events.clear();
-        for (dispatch::EventBody& body : held_events)
-          Reduce(node, std::move(body));
-      });
+  RunAt(process.frozen_until, [this, node, incarnation = process.incarnation] {
+    const Process& frozen = processes_[node];
+    if (frozen.incarnation != incarnation || now_ < frozen.frozen_until) return;
+    std::vector<dispatch::EventBody> held_events =
+        std::move(processes_[node].held_events);
+    processes_[node].held_events.clear();
+    for (dispatch::EventBody& body : held_events) Reduce(node, std::move(body));
+  });
 }
 
 void EmulatedSystem::StopNode(int node) {
@@ -188,7 +185,7 @@
       process.timer_at > now_ && process.timer_at <= next;
   if (next >= dispatch::kNever || earlier_timer_set) return;
   process.timer_at = next;
-  Schedule(next, [this, node, incarnation, next] {
+  RunAt(next, [this, node, incarnation, next] {
     Process& later = processes_[node];
     if (later.incarnation == incarnation && later.timer_at == next) {
       later.timer_at = TimePoint();
@@ -261,8 +258,8 @@
   runners_.erase(found);
   runner_at_.erase(removed_runner->info().address);
   removed_runner = nullptr;
-  Schedule(now_ + down,
-           [this, index, incarnation] { AddRunner(index, incarnation + 1); });
+  RunAt(now_ + down,
+        [this, index, incarnation] { AddRunner(index, incarnation + 1); });
 }
 
 void EmulatedSystem::DropIfCrashed(const std::string& address) {
@@ -313,8 +310,7 @@
   if (found == nullptr) return;
   found->info().draining = true;
   found->info().leaves_in = time;
-  Schedule(now_ + time,
-           [this, runner] { RemoveRunner(runner, Duration(1000)); });
+  RunAt(now_ + time, [this, runner] { RemoveRunner(runner, Duration(1000)); });
 }
 
 bool EmulatedSystem::IsReachable(const RunnerId& runner) const {
--- a/src/emulator/emulated_system.h
+++ b/src/emulator/emulated_system.h
@@ -237,9 +237,9 @@
     }
   };
 
-  /// Schedules an action for a time, or for now if that is past. Actions for
+  /// Schedules an action for time `at`, or for now if that is past. Actions for
   /// the same time run in the order in which they were scheduled.
-  void Schedule(TimePoint at, std::function<void()> run);
+  void RunAt(TimePoint at, std::function<void()> run);
   /// Returns a random number in the range [0, 1).
   double RandomFraction();
   bool Happens(double probability) {
