--- a/src/cli/accelerator_use.cc
+++ b/src/cli/accelerator_use.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Spreading runs and runners over slots of time.
+/// Computes the use of accelerators and cores per time slot.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,30 +15,31 @@
 
 constexpr double kMillisPerCore = 1000;
 
-/// A stretch of wall time.
+/// An interval of wall time.
 struct Span {
   std::int64_t from_ms = 0;
   std::int64_t to_ms = 0;
 };
 
-ResourceAmount operator*(const ResourceAmount& room, double factor) {
-  return {room.accelerators * factor, room.cores * factor};
+ResourceAmount operator*(const ResourceAmount& amount, double factor) {
+  return {amount.accelerators * factor, amount.cores * factor};
 }
 
 ResourceAmount operator+(const ResourceAmount& a, const ResourceAmount& b) {
   return {a.accelerators + b.accelerators, a.cores + b.cores};
 }
 
-ResourceAmount RoomOf(const LoggedRun& run) {
+ResourceAmount ResourcesOf(const LoggedRun& run) {
   return {static_cast<double>(run.accelerators),
           static_cast<double>(run.cpu_millis) / kMillisPerCore};
 }
 
-ResourceAmount MostOf(const ResourceAmount& a, const ResourceAmount& b) {
+ResourceAmount ElementwiseMax(const ResourceAmount& a,
+                              const ResourceAmount& b) {
   return {std::max(a.accelerators, b.accelerators), std::max(a.cores, b.cores)};
 }
 
-/// Times in which runners could be used, by runner.
+/// Intervals in which runners were usable, by runner.
 using RunnerSpans = std::map<std::string, std::vector<Span>>;
 
 bool MakesUsable(const std::string& event) {
@@ -54,7 +55,7 @@
 
 RunnerSpans UsableSpans(const std::vector<LogEntry>& entries) {
   RunnerSpans spans;
-  // Runners that can be used, and since when.
+  // Runners that are usable now, and since when.
   std::map<std::string, std::int64_t> usable;
   for (const LogEntry& entry : entries) {
     const std::string& runner = entry.Field("runner");
@@ -71,12 +72,13 @@
   return spans;
 }
 
-/// Takes up runs and tells the most that each runner held at once.
+/// Computes the peak of the resources that the runs on each runner held at the
+/// same time.
 class RunnerPeaks {
  public:
   void Add(const LoggedRun& run, Span span) {
-    Change(run.runner, span.from_ms, RoomOf(run));
-    Change(run.runner, span.to_ms, RoomOf(run) * -1);
+    Change(run.runner, span.from_ms, ResourcesOf(run));
+    Change(run.runner, span.to_ms, ResourcesOf(run) * -1);
   }
 
   ResourceAmount PeakOf(const std::string& runner) const {
@@ -86,49 +88,50 @@
     ResourceAmount peak;
     for (const auto& [at_ms, change] : found->second) {
       held = held + change;
-      peak = MostOf(peak, held);
+      peak = ElementwiseMax(peak, held);
     }
     return peak;
   }
 
  private:
   void Change(const std::string& runner, std::int64_t at_ms,
-              const ResourceAmount& by) {
+              const ResourceAmount& delta) {
     ResourceAmount& change = changes_[runner][at_ms];
-    change = change + by;
+    change = change + delta;
   }
 
-  /// Room taken less what was given back, by runner and moment.
+  /// Resources acquired minus resources released, by runner and time.
   std::map<std::string, std::map<std::int64_t, ResourceAmount>> changes_;
 };
 
-/// The slots, with what is added to them.
+/// Time slots to which runs, runners and open jobs are added.
 class SlotTable {
  public:
-  SlotTable(Span whole, Duration slot)
-      : whole_(whole), slot_(slot), slots_(Number(whole, slot)) {
+  SlotTable(Span log_span, Duration slot)
+      : log_span_(log_span), slot_(slot), slots_(CountSlots(log_span, slot)) {
     for (std::size_t i = 0; i < slots_.size(); ++i) {
       slots_[i].begin = slot * static_cast<std::int64_t>(i);
     }
   }
 
-  void AddRun(const std::string& queue, const ResourceAmount& room, Span span) {
-    Spread(room, span, [&queue](const ResourceAmount& mean, UseSlot* slot) {
+  void AddRun(const std::string& queue, const ResourceAmount& amount,
+              Span span) {
+    Spread(amount, span, [&queue](const ResourceAmount& mean, UseSlot* slot) {
       slot->used_by_queue[queue] += mean.accelerators;
       slot->used = slot->used + mean;
       slot->idle_at_least = slot->idle_at_least + mean * -1;
     });
   }
 
-  void AddRunner(const ResourceAmount& room, Span span) {
-    Spread(room, span, [](const ResourceAmount& mean, UseSlot* slot) {
+  void AddRunner(const ResourceAmount& amount, Span span) {
+    Spread(amount, span, [](const ResourceAmount& mean, UseSlot* slot) {
       slot->idle_at_least = slot->idle_at_least + mean;
     });
   }
 
   void AddJob(const std::string& queue, Span span) {
     for (UseSlot& slot : slots_) {
-      const std::int64_t begin_ms = whole_.from_ms + slot.begin.ms();
+      const std::int64_t begin_ms = log_span_.from_ms + slot.begin.ms();
       const bool open = span.from_ms <= begin_ms && begin_ms < span.to_ms;
       if (open) ++slot.open_jobs[queue];
     }
@@ -136,34 +139,37 @@
 
   std::vector<UseSlot> Finish() {
     for (UseSlot& slot : slots_) {
-      // Runs on runners that are about to leave hold more than counts as room.
-      slot.idle_at_least = MostOf(slot.idle_at_least, ResourceAmount());
+      // A run on a draining runner counts as use, but the runner no longer
+      // counts as usable, so the difference can be negative.
+      slot.idle_at_least = ElementwiseMax(slot.idle_at_least, ResourceAmount());
     }
     return std::move(slots_);
   }
 
  private:
-  static std::size_t Number(Span whole, Duration slot) {
-    const std::int64_t length_ms = whole.to_ms - whole.from_ms;
+  static std::size_t CountSlots(Span log_span, Duration slot) {
+    const std::int64_t length_ms = log_span.to_ms - log_span.from_ms;
     return static_cast<std::size_t>((length_ms + slot.ms() - 1) / slot.ms());
   }
 
-  /// Calls `add` with the mean over each slot that the span touches.
+  /// Calls `add` for each slot that overlaps the span, with the mean of the
+  /// amount over that slot.
   template <typename Adder>
-  void Spread(const ResourceAmount& room, Span span, const Adder& add) {
+  void Spread(const ResourceAmount& amount, Span span, const Adder& add) {
     for (UseSlot& slot : slots_) {
-      const std::int64_t begin_ms = whole_.from_ms + slot.begin.ms();
-      const std::int64_t end_ms = std::min(begin_ms + slot_.ms(), whole_.to_ms);
-      const std::int64_t common_ms =
+      const std::int64_t begin_ms = log_span_.from_ms + slot.begin.ms();
+      const std::int64_t end_ms =
+          std::min(begin_ms + slot_.ms(), log_span_.to_ms);
+      const std::int64_t overlap_ms =
           std::min(span.to_ms, end_ms) - std::max(span.from_ms, begin_ms);
-      if (common_ms <= 0) continue;
-      add(room * (static_cast<double>(common_ms) /
-                  static_cast<double>(end_ms - begin_ms)),
+      if (overlap_ms <= 0) continue;
+      add(amount * (static_cast<double>(overlap_ms) /
+                    static_cast<double>(end_ms - begin_ms)),
           &slot);
     }
   }
 
-  Span whole_;
+  Span log_span_;
   Duration slot_;
   std::vector<UseSlot> slots_;
 };
@@ -174,23 +180,23 @@
                                         const Histories& histories,
                                         Duration slot) {
   if (entries.empty()) return {};
-  const Span whole = {entries.front().wall_ms, entries.back().wall_ms};
-  SlotTable table(whole, slot);
+  const Span log_span = {entries.front().wall_ms, entries.back().wall_ms};
+  SlotTable table(log_span, slot);
   RunnerPeaks peaks;
-  const auto until = [&whole](std::int64_t from_ms, std::int64_t to_ms) {
-    return Span{from_ms, to_ms == 0 ? whole.to_ms : to_ms};
+  const auto make_span = [&log_span](std::int64_t from_ms, std::int64_t to_ms) {
+    return Span{from_ms, to_ms == 0 ? log_span.to_ms : to_ms};
   };
   for (const auto& [id, job] : histories.jobs) {
     const std::string queue = GroupName(job.queue);
     for (const auto& [key, runs] : job.tasks) {
       for (const LoggedRun& run : runs) {
-        const Span span = until(run.begun_ms, run.ended_ms);
-        table.AddRun(queue, RoomOf(run), span);
+        const Span span = make_span(run.begun_ms, run.ended_ms);
+        table.AddRun(queue, ResourcesOf(run), span);
         peaks.Add(run, span);
       }
     }
     if (job.accepted_ms == 0) continue;
-    table.AddJob(queue, until(job.accepted_ms, job.settled_ms));
+    table.AddJob(queue, make_span(job.accepted_ms, job.settled_ms));
   }
   for (const auto& [runner, spans] : UsableSpans(entries)) {
     for (const Span& span : spans) {
--- a/src/cli/accelerator_use.h
+++ b/src/cli/accelerator_use.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many accelerators and cores were in use over time, and for which queue.
+/// Use of accelerators and cores over time, by queue.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,35 +17,36 @@
 
 namespace limeledge {
 
-/// Length of a slot unless another is asked for: about the time that room is
-/// kept for a gang, so that room that stands free shows.
+/// Default length of a time slot: about as long as capacity stays reserved for
+/// a gang, so that the report shows reserved capacity that is idle.
 inline constexpr Duration kDefaultSlot = Duration(2000);
 
-/// Means over a time.
+/// An amount of accelerators and cores. Fractional, since means are computed.
 struct ResourceAmount {
   double accelerators = 0;
   double cores = 0;
 };
 
-/// A slot of time. Accelerators and cores are means over it.
+/// Use during one time slot. Accelerators and cores are means over the slot.
 struct UseSlot {
-  /// From the first line.
+  /// Offset from the first log line.
   Duration begin;
-  /// Accelerators.
+  /// Accelerators in use, by queue.
   std::map<std::string, double> used_by_queue;
   ResourceAmount used;
-  /// At least so much was free on runners that could be used: a runner counts
-  /// with the most that its runs ever held at once, since logs do not tell its
-  /// size. Accelerators that are free on a runner without free cores serve
-  /// nobody.
+  /// Lower bound on the free resources of usable runners. The logs do not state
+  /// the size of a runner, so the peak that its runs held at the same time
+  /// counts as its size. No task can use free accelerators on a runner without
+  /// free cores.
   ResourceAmount idle_at_least;
-  /// At the slot's beginning.
+  /// Jobs that were open at the start of the slot, by queue.
   std::map<std::string, int> open_jobs;
 };
 
-/// Slots from the first line to the last; the last may be shorter. A run that
-/// no line ends lasts to the last line. `entries`: in order of time;
-/// `histories`: of these entries; `slot`: above zero. Safe from any thread.
+/// Returns the slots from the first log line to the last; the last slot may be
+/// shorter. A run without a logged end lasts to the last line. `entries`: in
+/// order of time; `histories`: built from these entries; `slot`: slot length,
+/// above zero. Safe from any thread.
 std::vector<UseSlot> MakeAcceleratorUse(const std::vector<LogEntry>& entries,
                                         const Histories& histories,
                                         Duration slot);
--- a/test/accelerator-use-test.cc
+++ b/test/accelerator-use-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of telling from logs how accelerators were used over time.
+/// Tests of the use of accelerators over time, as computed from logs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
 
 namespace limeledge {
 
-// Slots of 2000 ms, from 0 ms on.
+// Log lines from 0 ms on, evaluated in slots of 2000 ms.
 class AcceleratorUseFixture : public LogLinesFixture {
  public:
   std::vector<UseSlot> Use() { return MakeWorkReport(lines, 10).use; }
@@ -29,7 +29,7 @@
 
 TEST_GROUP_BASE(AcceleratorUse, AcceleratorUseFixture){};
 
-TEST(AcceleratorUse, RunIsSpreadOverTheSlotsThatItTouches) {
+TEST(AcceleratorUse, RunIsSpreadOverTheSlotsThatItOverlaps) {
   Assign(1000, "aa.0.0.0", 1);
   End(4500, "aa.0.0.0", 1, "done");
   EndLogs(8000);
@@ -40,7 +40,7 @@
   DOUBLES_EQUAL(0.0, Use().at(3).used.accelerators, 0.001);
 }
 
-TEST(AcceleratorUse, QueuesAreToldApartAndSummedUp) {
+TEST(AcceleratorUse, QueuesAreCountedSeparatelyAndInTotal) {
   Submit(1000, "bb", "check", "roads");
   Assign(2000, "aa.0.0.0", 1);
   Assign(3000, "bb.0.0.0", 1);
@@ -50,7 +50,7 @@
   DOUBLES_EQUAL(6.0, Use().at(1).used.accelerators, 0.001);
 }
 
-TEST(AcceleratorUse, RunThatTheLogsCutOffLastsToTheirLastLine) {
+TEST(AcceleratorUse, RunWithoutALoggedEndLastsToTheLastLine) {
   Assign(2000, "aa.0.0.0", 1);
   EndLogs(5000);
   LONGS_EQUAL(3, Use().size());
@@ -68,7 +68,7 @@
   LONGS_EQUAL(0, OpenAt(3));
 }
 
-TEST(AcceleratorUse, RunnerIsIdleByTheMostThatItEverHeld) {
+TEST(AcceleratorUse, IdleResourcesAreBoundedByTheRunnersPeak) {
   Assign(0, "aa.0.0.0", 1);
   Assign(0, "aa.0.0.1", 1);
   End(2000, "aa.0.0.0", 1, "done");
@@ -79,7 +79,7 @@
   DOUBLES_EQUAL(8.0, Use().at(2).idle_at_least.accelerators, 0.001);
 }
 
-TEST(AcceleratorUse, CoresAreToldBesideAccelerators) {
+TEST(AcceleratorUse, CoresAreCountedLikeAccelerators) {
   Assign(0, "aa.0.0.0", 1);
   End(2000, "aa.0.0.0", 1, "done");
   EndLogs(4000);
@@ -88,7 +88,7 @@
   DOUBLES_EQUAL(8.0, Use().at(1).idle_at_least.cores, 0.001);
 }
 
-TEST(AcceleratorUse, RunThatFollowsAtOnceDoesNotMakeARunnerLarger) {
+TEST(AcceleratorUse, BackToBackRunsDoNotRaiseTheRunnersPeak) {
   Assign(0, "aa.0.0.0", 1);
   End(2000, "aa.0.0.0", 1, "failed");
   Assign(2000, "aa.0.0.0", 2);
@@ -97,7 +97,7 @@
   DOUBLES_EQUAL(4.0, Use().at(2).idle_at_least.accelerators, 0.001);
 }
 
-TEST(AcceleratorUse, RunnerThatIsGoneIsNotIdle) {
+TEST(AcceleratorUse, UnlistedRunnerIsNotIdle) {
   Assign(0, "aa.0.0.0", 1);
   End(2000, "aa.0.0.0", 1, "failed");
   Line(4000, "runner_unlisted", {{"runner", "i-1"}});
@@ -106,7 +106,7 @@
   DOUBLES_EQUAL(0.0, Use().at(2).idle_at_least.accelerators, 0.001);
 }
 
-TEST(AcceleratorUse, SlotsAreAsLongAsAskedFor) {
+TEST(AcceleratorUse, SlotLengthCanBeSet) {
   EndLogs(6000);
   LONGS_EQUAL(2, MakeWorkReport(lines, 10, Duration(5000)).use.size());
 }
