--- a/src/cli/command.cc
+++ b/src/cli/command.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Calls, errors and files, shared by all verbs.
+/// Calls, error reports and file access, shared by all commands.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -24,19 +24,19 @@
 constexpr int kUnauthenticated = 401;
 constexpr int kForbidden = 403;
 
-std::string Advice(int status) {
+std::string HintFor(int status) {
   switch (status) {
     case kUnauthenticated:
       return "give the token with --token, --token-file or LIMELEDGE_TOKEN";
     case kForbidden:
       return "use a token of the workspace, or of an operator with that role";
     case 409:
-      return "read the present state, then decide whether to send again";
+      return "read the current state, then decide whether to retry";
     case 429:
     case 503:
-      return "it did not run; send it again later";
+      return "it did not run; retry later";
     case 504:
-      return "it may have run; send the same id again to learn the outcome";
+      return "it may have run; retry with the same id to learn the outcome";
     default:
       return "";
   }
@@ -44,14 +44,14 @@
 
 void PrintFindings(const Json::Value& findings) {
   for (const Json::Value& finding : findings) {
-    std::string place = finding["source"].asString();
+    std::string location = finding["source"].asString();
     if (finding.isMember("line")) {
-      absl::StrAppend(&place, ":", finding["line"].asInt(), ":",
+      absl::StrAppend(&location, ":", finding["line"].asInt(), ":",
                       finding["column"].asInt());
     }
     const std::string path = finding["path"].asString();
-    fmt::print(stderr, "  {}: {}{}{}\n", place, path, path.empty() ? "" : ": ",
-               finding["message"].asString());
+    fmt::print(stderr, "  {}: {}{}{}\n", location, path,
+               path.empty() ? "" : ": ", finding["message"].asString());
   }
 }
 
@@ -88,14 +88,14 @@
 int ReportFailure(const Target& target, const HttpReply& reply) {
   if (reply.outcome == HttpOutcome::kNotSent) {
     fmt::print(stderr,
-               "limeledge: no connection to {}; nothing was sent. Name a live "
+               "limeledge: cannot connect to {}; nothing was sent. Name a live "
                "instance with --server\n",
                target.server);
     return kExitFailed;
   }
   if (reply.outcome == HttpOutcome::kLost) {
-    fmt::print(stderr, "limeledge: no answer from {}; {}\n", target.server,
-               Advice(504));
+    fmt::print(stderr, "limeledge: no complete response from {}; {}\n",
+               target.server, HintFor(504));
     return kExitFailed;
   }
   if (target.json) fmt::print("{}\n", reply.body);
@@ -113,11 +113,11 @@
   if (json.ok() && json->isObject() && json->isMember("error")) {
     PrintFindings((*json)["error"]["findings"]);
   }
-  const std::string advice = Advice(reply.status);
-  if (!advice.empty()) fmt::print(stderr, "  {}\n", advice);
+  const std::string hint = HintFor(reply.status);
+  if (!hint.empty()) fmt::print(stderr, "  {}\n", hint);
   const auto retry = reply.headers.find("Retry-After");
   if (retry != reply.headers.end()) {
-    fmt::print(stderr, "  ask again in {} s\n", retry->second);
+    fmt::print(stderr, "  retry after {} s\n", retry->second);
   }
   return kExitFailed;
 }
@@ -139,15 +139,16 @@
 }
 
 absl::Status AddLogFiles(const std::vector<std::string>& files,
-                         MergedLog* story) {
+                         MergedLog* log) {
   const std::vector<std::string> standard_input = {"-"};
   for (const std::string& file : files.empty() ? standard_input : files) {
     const absl::StatusOr<std::string> text = ReadFile(file);
     if (!text.ok()) return text.status();
-    const int passed_over = story->Add(*text);
-    if (passed_over == 0) continue;
-    fmt::print(stderr, "limeledge: {}: {} lines are no log lines\n", file,
-               passed_over);
+    const int skipped = log->Add(*text);
+    if (skipped == 0) continue;
+    fmt::print(stderr,
+               "limeledge: {}: skipped {} lines that are not log lines\n", file,
+               skipped);
   }
   return absl::OkStatus();
 }
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -1,5 +1,5 @@
 /// @file
-/// What every verb of the command-line tool gets and gives.
+/// Interface and shared functions of the commands of the command-line tool.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -23,28 +23,28 @@
 inline constexpr int kExitFailed = 1;
 inline constexpr int kExitUsage = 2;
 
-/// Where and as whom the tool calls.
+/// The server to call, the credentials, and the output format.
 struct Target {
   std::string server;
   std::string token;
   bool json = false;
 };
 
-/// One verb, such as "job submit".
+/// One command, such as "job submit".
 struct Command {
   std::string group;
   std::string verb;
-  /// Placeholders of its arguments, such as "ID" or "[FILE]".
+  /// Placeholders of the positional arguments, such as "ID" or "[FILE]".
   std::string arguments;
   std::string help;
-  /// Adds the verb's own options.
+  /// Adds the options that only this command takes.
   void (*add_options)(cxxopts::OptionAdder& add);
-  /// Carries it out; returns an exit code.
+  /// Runs the command and returns an exit status.
   int (*run)(const Target& target, const cxxopts::ParseResult& args,
              const std::vector<std::string>& arguments);
 };
 
-/// All verbs, in the order in which help lists them.
+/// Returns all commands, in the order in which the help lists them.
 std::vector<Command> AllCommands();
 std::vector<Command> JobCommands();
 std::vector<Command> RequestCommands();
@@ -56,15 +56,16 @@
 std::vector<Command> ReportCommands();
 std::vector<Command> NodeCommands();
 
-/// No options of its own.
+/// For commands without options of their own.
 void AddNoOptions(cxxopts::OptionAdder& add);
 
-/// Calls the server. The reply's body is JSON text, also for errors.
+/// Sends a request to the server. The body of the reply is JSON, also for
+/// errors.
 HttpReply CallServer(const Target& target, const std::string& method,
                      const std::string& path, const std::string& body,
                      Duration timeout, const std::string& if_match = "");
 
-/// Prints why a call failed and what to do; returns `kExitFailed`.
+/// Prints why a call failed and what to do about it; returns `kExitFailed`.
 int ReportFailure(const Target& target, const HttpReply& reply);
 
 /// Prints a usage error; returns `kExitUsage`.
@@ -73,12 +74,13 @@
 /// Reads a whole file, or standard input for "-".
 absl::StatusOr<std::string> ReadFile(const std::string& path);
 
-/// Adds log files to the story, or standard input where there are none, and
-/// prints how many lines were no log lines. Fails where one can not be read.
-absl::Status AddLogFiles(const std::vector<std::string>& files,
-                         MergedLog* story);
+/// Adds log files, or standard input if `files` is empty, to the log, and
+/// prints how many lines were skipped because they are not log lines. Fails if
+/// a file cannot be read.
+absl::Status AddLogFiles(const std::vector<std::string>& files, MergedLog* log);
 
-/// Prints a JSON body as it is with --json, and returns true then.
+/// With --json, prints the body unchanged and returns true. Otherwise returns
+/// false.
 bool PrintIfJson(const Target& target, const std::string& body);
 
 }  // namespace limeledge
