--- a/src/cli/top_jobs.cc
+++ b/src/cli/top_jobs.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Keeping the dearest jobs.
+/// Keeps the jobs with the highest cost.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
   std::stable_sort(
       jobs_.begin(), jobs_.end(),
       [](const auto& a, const auto& b) { return a.first > b.first; });
-  if (jobs_.size() > most_) jobs_.pop_back();
+  if (jobs_.size() > max_jobs_) jobs_.pop_back();
 }
 
 std::vector<std::string> TopJobs::jobs() const {
--- a/src/cli/top_jobs.h
+++ b/src/cli/top_jobs.h
@@ -1,5 +1,5 @@
 /// @file
-/// Naming the few jobs that something cost most.
+/// The few jobs with the highest cost.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,20 +14,20 @@
 
 namespace limeledge {
 
-/// Jobs that something cost most, the dearest first.
+/// The jobs with the highest cost, in descending order.
 ///
 /// Thread safety: none; use it from one thread.
 class TopJobs {
  public:
-  explicit TopJobs(std::size_t most = 3) : most_(most) {}
+  explicit TopJobs(std::size_t max_jobs = 3) : max_jobs_(max_jobs) {}
 
-  /// Notes what it cost a job, in any unit.
+  /// Adds a cost of a job. All costs must have the same unit.
   void Add(double cost, const std::string& job);
-  /// Each job once.
+  /// Returns the ids of the jobs, each once.
   std::vector<std::string> jobs() const;
 
  private:
-  std::size_t most_;
+  std::size_t max_jobs_;
   std::vector<std::pair<double, std::string>> jobs_;
 };
 
