--- a/src/cli/delays.cc
+++ b/src/cli/delays.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Following a job's time back along the runs that decided it.
+/// Attributes a job's time to causes, from its end back to its first submit.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,63 +18,69 @@
 
 namespace {
 
-// Stands for the index of any task that had no run yet.
+// Index that stands for any task of a step that has had no run.
 constexpr int kNeverStarted = -1;
 
 /// A task and its runs.
 using LoggedTask = std::map<TaskKey, std::vector<LoggedRun>>::value_type;
 
-/// Walks from a job's end to its beginning, along what decided its length.
+/// Walks from a job's end back to its first submit along its critical path, and
+/// collects the causes of the time spent.
 class DelayWalk {
  public:
-  /// From `end_ms` on, when the job settled or was still open.
+  /// `end_ms`: when the job settled or, for an open job, the time of the last
+  /// log line.
   DelayWalk(const JobHistory& job,
             const std::vector<LeadershipTerm>& leadership_terms,
             std::int64_t end_ms)
-      : job_(job), reigns_(leadership_terms), at_ms_(end_ms) {}
+      : job_(job), leadership_terms_(leadership_terms), at_ms_(end_ms) {}
 
   std::vector<Delay> Walk();
   std::vector<Delay> WalkOpen();
 
  private:
-  /// The task not done that has had no run for longest or, if all have one,
-  /// whose run began last.
-  std::optional<TaskKey> FurthestBehind() const;
-  /// From the end of the task that was done last.
-  std::vector<Delay> WalkDone();
-  /// From the end of a step's last task, and its causes, to the beginning.
-  /// `task`: null if there is none; `key`: what was walked before.
+  /// Returns the unfinished task that has had no run for the longest time or,
+  /// if all unfinished tasks are running, the one whose run began last.
+  std::optional<TaskKey> MostDelayedTask() const;
+  /// Walks back from the end of the task that finished last.
+  std::vector<Delay> WalkFromLastDone();
+  /// Walks back from the end of `task` through the earlier steps to the first
+  /// submit. `task`: null if no earlier task finished; `key`: the task that was
+  /// walked before.
   std::vector<Delay> FollowSteps(const LoggedTask* task, TaskKey key);
-  /// The task of an earlier step, or of any, whose done run ended last, but not
-  /// after `at_ms_`. Null if there is none.
+  /// Returns the task whose last run ended last, but not after `at_ms_`, or
+  /// null if there is none. `before`: only tasks of steps before this one;
+  /// null: any task.
   const LoggedTask* LastDone(const TaskKey* before) const;
-  /// Back to the run's beginning, for what its time went on.
+  /// Walks back to the start of the run, split by cause.
   void WalkRun(const LoggedRun& run);
-  /// Back along the runs that are over.
+  /// Walks back along the runs that have ended, and the waits between them.
   void WalkRuns(const TaskKey& key, const std::vector<LoggedRun>& runs);
-  /// Goes back to `from_ms`, for a cause.
-  void Back(std::int64_t from_ms, const std::string& cause);
-  /// The same for a time in which the step waited.
-  void BackThroughWait(std::int64_t from_ms, const TaskKey& key);
-  bool SomebodySchedules(std::int64_t at_ms) const;
+  /// Attributes the time from `from_ms` to `at_ms_` to a cause, and moves
+  /// `at_ms_` back.
+  void AttributeBackTo(std::int64_t from_ms, const std::string& cause);
+  /// The same for time in which the step waited, split by wait reason.
+  void AttributeWaitBackTo(std::int64_t from_ms, const TaskKey& key);
+  bool HasScheduler(std::int64_t at_ms) const;
   std::string WaitReasonAt(std::int64_t at_ms, const TaskKey& key) const;
 
   const JobHistory& job_;
-  const std::vector<LeadershipTerm>& reigns_;
+  const std::vector<LeadershipTerm>& leadership_terms_;
   std::int64_t at_ms_;
   std::vector<Delay> delays_;
 };
 
-void DelayWalk::Back(std::int64_t from_ms, const std::string& cause) {
+void DelayWalk::AttributeBackTo(std::int64_t from_ms,
+                                const std::string& cause) {
   if (from_ms >= at_ms_) return;
   delays_.push_back({cause, Duration(at_ms_ - from_ms)});
   at_ms_ = from_ms;
 }
 
-bool DelayWalk::SomebodySchedules(std::int64_t at_ms) const {
-  return std::any_of(reigns_.begin(), reigns_.end(),
-                     [at_ms](const LeadershipTerm& reign) {
-                       return reign.from_ms <= at_ms && at_ms < reign.to_ms;
+bool DelayWalk::HasScheduler(std::int64_t at_ms) const {
+  return std::any_of(leadership_terms_.begin(), leadership_terms_.end(),
+                     [at_ms](const LeadershipTerm& term) {
+                       return term.from_ms <= at_ms && at_ms < term.to_ms;
                      });
 }
 
@@ -89,23 +95,23 @@
   return reason;
 }
 
-void DelayWalk::BackThroughWait(std::int64_t from_ms, const TaskKey& key) {
-  // The moments at which the cause may change.
+void DelayWalk::AttributeWaitBackTo(std::int64_t from_ms, const TaskKey& key) {
+  // The times at which the cause may change.
   std::set<std::int64_t> edges = {from_ms};
   const auto add = [this, from_ms, &edges](std::int64_t at_ms) {
     if (at_ms > from_ms && at_ms < at_ms_) edges.insert(at_ms);
   };
-  for (const LeadershipTerm& reign : reigns_) {
-    add(reign.from_ms);
-    add(reign.to_ms);
+  for (const LeadershipTerm& term : leadership_terms_) {
+    add(term.from_ms);
+    add(term.to_ms);
   }
   const auto waits = job_.waits.find({key.occurrence, key.step});
   if (waits != job_.waits.end()) {
     for (const LoggedWait& wait : waits->second) add(wait.from_ms);
   }
   for (auto edge = edges.rbegin(); edge != edges.rend(); ++edge) {
-    Back(*edge, SomebodySchedules(*edge) ? WaitReasonAt(*edge, key)
-                                         : kCauseNoScheduler);
+    AttributeBackTo(*edge, HasScheduler(*edge) ? WaitReasonAt(*edge, key)
+                                               : kCauseNoScheduler);
   }
 }
 
@@ -128,31 +134,33 @@
 void DelayWalk::WalkRun(const LoggedRun& run) {
   const bool lost = run.fate != RunFate::kDone && run.fate != RunFate::kOngoing;
   if (lost) {
-    Back(run.begun_ms, absl::StrCat("lost run: ", ToString(run.fate)));
+    AttributeBackTo(run.begun_ms,
+                    absl::StrCat("lost run: ", ToString(run.fate)));
     return;
   }
-  Back(run.begun_ms + run.expected.ms(), kCauseLongRun);
-  Back(run.begun_ms + run.expected_near.ms(), kCauseFarRun);
-  Back(run.begun_ms, kCauseWork);
+  AttributeBackTo(run.begun_ms + run.expected.ms(), kCauseLongRun);
+  AttributeBackTo(run.begun_ms + run.expected_near.ms(), kCauseFarRun);
+  AttributeBackTo(run.begun_ms, kCauseWork);
 }
 
 void DelayWalk::WalkRuns(const TaskKey& key,
                          const std::vector<LoggedRun>& runs) {
   for (auto run = runs.rbegin(); run != runs.rend(); ++run) {
     if (run->ended_ms == 0) continue;
-    BackThroughWait(run->ended_ms, key);
+    AttributeWaitBackTo(run->ended_ms, key);
     WalkRun(*run);
   }
 }
 
 std::vector<Delay> DelayWalk::Walk() {
   if (job_.accepted_ms == 0 || job_.settled_ms == 0) return {};
-  return WalkDone();
+  return WalkFromLastDone();
 }
 
-std::vector<Delay> DelayWalk::WalkDone() {
+std::vector<Delay> DelayWalk::WalkFromLastDone() {
   const LoggedTask* task = LastDone(nullptr);
-  if (task != nullptr) Back(task->second.back().ended_ms, kCauseSettling);
+  if (task != nullptr)
+    AttributeBackTo(task->second.back().ended_ms, kCauseSettling);
   return FollowSteps(task, TaskKey());
 }
 
@@ -162,49 +170,49 @@
     WalkRuns(key, task->second);
     task = LastDone(&key);
   }
-  BackThroughWait(job_.accepted_ms, key);
-  Back(job_.first_submit_ms, kCauseNotAccepted);
+  AttributeWaitBackTo(job_.accepted_ms, key);
+  AttributeBackTo(job_.first_submit_ms, kCauseNotAccepted);
   return std::move(delays_);
 }
 
-std::optional<TaskKey> DelayWalk::FurthestBehind() const {
+std::optional<TaskKey> DelayWalk::MostDelayedTask() const {
   for (const auto& [step, tasks] : CountTasks(job_)) {
     if (tasks.known > tasks.started) {
       return TaskKey{step.first, step.second, kNeverStarted};
     }
   }
-  std::optional<TaskKey> behind;
+  std::optional<TaskKey> delayed;
   std::int64_t least_ms = 0;
   for (const auto& [key, runs] : job_.tasks) {
     if (runs.empty()) continue;
     const LoggedRun& last = runs.back();
     if (last.fate == RunFate::kDone) continue;
-    // Tasks that wait go before those that run, as their runs are over before
-    // `at_ms_`.
+    // Waiting tasks rank before running ones: their runs ended before `at_ms_`,
+    // and running tasks get a rank after it.
     const std::int64_t rank_ms =
         last.ended_ms != 0 ? last.ended_ms : at_ms_ + (at_ms_ - last.begun_ms);
-    if (behind && rank_ms >= least_ms) continue;
-    behind = key;
+    if (delayed && rank_ms >= least_ms) continue;
+    delayed = key;
     least_ms = rank_ms;
   }
-  return behind;
+  return delayed;
 }
 
 std::vector<Delay> DelayWalk::WalkOpen() {
   if (job_.accepted_ms == 0) return {};
-  const std::optional<TaskKey> behind = FurthestBehind();
-  if (!behind) return WalkDone();
-  const auto found = job_.tasks.find(*behind);
+  const std::optional<TaskKey> delayed = MostDelayedTask();
+  if (!delayed) return WalkFromLastDone();
+  const auto found = job_.tasks.find(*delayed);
   if (found != job_.tasks.end()) {
     const std::vector<LoggedRun>& runs = found->second;
     if (runs.back().ended_ms == 0) WalkRun(runs.back());
-    WalkRuns(*behind, runs);
+    WalkRuns(*delayed, runs);
   }
-  const LoggedTask* before = LastDone(&*behind);
+  const LoggedTask* before = LastDone(&*delayed);
   if (before != nullptr) {
-    BackThroughWait(before->second.back().ended_ms, *behind);
+    AttributeWaitBackTo(before->second.back().ended_ms, *delayed);
   }
-  return FollowSteps(before, *behind);
+  return FollowSteps(before, *delayed);
 }
 
 }  // namespace
--- a/src/cli/delays.h
+++ b/src/cli/delays.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a job's time between handing in and final state went on.
+/// Causes of the time between a job's first submit and its final state.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,13 +15,14 @@
 
 namespace limeledge {
 
-/// Part of a job's time, and what it went on.
+/// Part of a job's time, and its cause.
 struct Delay {
   std::string cause;
   Duration length;
 };
 
-/// The causes that are not reasons of a wait, which the scheduler names itself.
+/// Causes other than waits. The causes of waits contain the reason that the
+/// scheduler logged.
 inline constexpr char kCauseWork[] = "work";
 inline constexpr char kCauseFarRun[] = "run far from its data or rack";
 inline constexpr char kCauseLongRun[] = "run longer than expected";
@@ -30,17 +31,17 @@
 inline constexpr char kCauseDeciding[] = "being decided and stored";
 inline constexpr char kCauseSettling[] = "last run over, job not settled";
 
-/// Parts a settled job's time, from its first submit to its final state, along
-/// the runs that decided its length: the task that ended last, the step before
-/// it that ended last, and so on. Empty if the logs do not tell its beginning
-/// and its end. Safe from any thread.
+/// Splits a settled job's time, from its first submit to its final state, by
+/// cause. Follows the critical path: the task that ended last, then the task of
+/// an earlier step that ended last, and so on. Empty if the logs lack the job's
+/// acceptance or its end. Safe from any thread.
 std::vector<Delay> DelaysOf(
     const JobHistory& job, const std::vector<LeadershipTerm>& leadership_terms);
 
-/// The same for a job that is open at `until_ms`, the last line's wall time:
-/// along the task not done that has had no run for longest or, if all have one,
-/// whose run began last. Empty if the logs do not tell its beginning. Safe from
-/// any thread.
+/// The same for a job that is open at `until_ms`, the wall time of the last log
+/// line. Starts from the unfinished task that has had no run for the longest
+/// time or, if all unfinished tasks are running, from the one whose run began
+/// last. Empty if the logs lack the job's acceptance. Safe from any thread.
 std::vector<Delay> DelaysUntil(
     const JobHistory& job, const std::vector<LeadershipTerm>& leadership_terms,
     std::int64_t until_ms);
