--- a/src/cli/explain_command.cc
+++ b/src/cli/explain_command.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The verb that tells a job's history from the logs of several processes.
+/// The command that prints a job's history from the logs of several processes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
 namespace {
 
 void AddExplainOptions(cxxopts::OptionAdder& add) {
-  add("only", "only the lines that name the id");
+  add("only", "print only the lines that mention the id");
 }
 
 Json::Value ToJson(const LogEntry& entry) {
@@ -37,7 +37,7 @@
   fmt::print("{}\n", WriteJson(json));
 }
 
-void PrintInWords(const std::vector<LogEntry>& lines) {
+void PrintAsText(const std::vector<LogEntry>& lines) {
   const std::int64_t begin = lines.front().wall_ms;
   for (const LogEntry& line : lines) {
     fmt::print("{:>9} ms  {:<20} {}  {}\n", line.wall_ms - begin, line.instance,
@@ -49,21 +49,21 @@
 int Explain(const Target& target, const cxxopts::ParseResult& args,
             const std::vector<std::string>& arguments) {
   if (arguments.empty()) return ReportUsage("explain needs an ID");
-  MergedLog story;
+  MergedLog log;
   const absl::Status status =
-      AddLogFiles({arguments.begin() + 1, arguments.end()}, &story);
+      AddLogFiles({arguments.begin() + 1, arguments.end()}, &log);
   if (!status.ok()) return ReportUsage(std::string(status.message()));
   const std::vector<LogEntry> lines = args.count("only") != 0
-                                          ? story.LinesOf(arguments[0])
-                                          : story.LinesAround(arguments[0]);
+                                          ? log.LinesOf(arguments[0])
+                                          : log.LinesAround(arguments[0]);
   if (lines.empty()) {
-    fmt::print(stderr, "limeledge: no line names {}\n", arguments[0]);
+    fmt::print(stderr, "limeledge: no log line mentions {}\n", arguments[0]);
     return kExitFailed;
   }
   if (target.json) {
     PrintAsJson(lines);
   } else {
-    PrintInWords(lines);
+    PrintAsText(lines);
   }
   return kExitDone;
 }
@@ -72,7 +72,7 @@
 
 std::vector<Command> ExplainCommands() {
   return {{"explain", "", "ID [FILE...]",
-           "Tell a job's history from the logs of all processes.",
+           "Print a job's history from the logs of all processes.",
            AddExplainOptions, Explain}};
 }
 
--- a/src/cli/job_commands.cc
+++ b/src/cli/job_commands.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The verbs of jobs.
+/// The commands that submit, show, wait for and cancel jobs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Duration kCallTimeout{20000};
-constexpr int kWaitSliceMs = 20000;
+constexpr int kMaxPollMs = 20000;
 constexpr int kOk = 200;
 constexpr int kAccepted = 202;
 
@@ -50,9 +50,9 @@
 }
 
 int ShowReply(const Target& target, const HttpReply& reply) {
-  const bool good = reply.outcome == HttpOutcome::kAnswered &&
-                    (reply.status == kOk || reply.status == kAccepted);
-  if (!good) return ReportFailure(target, reply);
+  const bool succeeded = reply.outcome == HttpOutcome::kAnswered &&
+                         (reply.status == kOk || reply.status == kAccepted);
+  if (!succeeded) return ReportFailure(target, reply);
   if (PrintIfJson(target, reply.body)) return kExitDone;
   const absl::StatusOr<Json::Value> job = ParseJson(reply.body);
   if (job.ok()) PrintJob(*job);
@@ -66,9 +66,9 @@
   add("accelerators", "accelerators of each member", cxxopts::value<int>());
   add("cores", "cores of each member", cxxopts::value<int>());
   add("memory-mb", "memory of each member", cxxopts::value<int>());
-  add("declared-ms", "guess of the run time", cxxopts::value<std::int64_t>());
+  add("declared-ms", "estimated run time", cxxopts::value<std::int64_t>());
   add("repeatable", "the job may run more than once");
-  add("payload", "text for every member", cxxopts::value<std::string>());
+  add("payload", "text passed to every member", cxxopts::value<std::string>());
   add("file", "read the whole body from a JSON file, - for standard input",
       cxxopts::value<std::string>());
 }
@@ -87,9 +87,10 @@
     if (!text.ok()) return ReportUsage(std::string(text.status().message()));
     body = *text;
   } else {
-    const bool named = arguments.size() == 1 && args.count("workspace") != 0 &&
-                       args.count("class") != 0;
-    if (!named) {
+    const bool complete = arguments.size() == 1 &&
+                          args.count("workspace") != 0 &&
+                          args.count("class") != 0;
+    if (!complete) {
       return ReportUsage("job submit needs ID, --workspace and --class");
     }
     Json::Value json(Json::objectValue);
@@ -165,15 +166,15 @@
   const std::string query = WorkspaceQuery(args, '&');
   std::int64_t left_ms = args["timeout-ms"].as<std::int64_t>();
   while (true) {
-    const std::int64_t slice_ms = std::min<std::int64_t>(left_ms, kWaitSliceMs);
+    const std::int64_t poll_ms = std::min<std::int64_t>(left_ms, kMaxPollMs);
     const std::string path =
-        absl::StrCat("/v1/jobs/", arguments[0], "?wait_ms=", slice_ms, query);
+        absl::StrCat("/v1/jobs/", arguments[0], "?wait_ms=", poll_ms, query);
     const HttpReply reply =
-        CallServer(target, "GET", path, "", Duration(slice_ms) + kCallTimeout);
+        CallServer(target, "GET", path, "", Duration(poll_ms) + kCallTimeout);
     if (!reply.ok()) return ReportFailure(target, reply);
     const absl::StatusOr<Json::Value> job = ParseJson(reply.body);
     const std::string state = job.ok() ? (*job)["state"].asString() : "";
-    left_ms -= slice_ms;
+    left_ms -= poll_ms;
     if (!HasEnded(state) && left_ms > 0) continue;
     ShowReply(target, reply);
     return state == "done" ? kExitDone : kExitFailed;
@@ -193,13 +194,14 @@
 
 std::vector<Command> JobCommands() {
   return {
-      {"job", "submit", "ID", "Store a job; it starts when there is room.",
+      {"job", "submit", "ID", "Submit a job; it starts when there is capacity.",
        AddSubmitOptions, Submit},
-      {"job", "show", "ID", "Show a job and say why it waits.",
-       AddWorkspaceOption, Show},
+      {"job", "show", "ID", "Show a job and why it waits.", AddWorkspaceOption,
+       Show},
       {"job", "list", "", "List jobs.", AddWorkspaceOption, List},
-      {"job", "wait", "ID", "Wait for a job's end; exit 0 when it is done.",
-       AddWaitOptions, Wait},
+      {"job", "wait", "ID",
+       "Wait until a job ends; exit status 0 if it is done.", AddWaitOptions,
+       Wait},
       {"job", "cancel", "ID", "Cancel a job.", AddWorkspaceOption, Cancel},
   };
 }
