--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Reading jobs, runs and reigns from log lines.
+/// Reads jobs, runs and leadership terms from log lines.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,19 +16,19 @@
 
 namespace {
 
-// JOB.OCCURRENCE.STEP.INDEX, and the same of a step without the index.
+// A task is logged as JOB.OCCURRENCE.STEP.INDEX, a step as JOB.OCCURRENCE.STEP.
 constexpr std::size_t kTaskParts = 4;
 constexpr std::size_t kStepParts = 3;
 
 constexpr char kUnknownGroup[] = "(not told)";
 
-std::int64_t NumberOf(const LogEntry& entry, const char* field) {
+std::int64_t IntFieldOf(const LogEntry& entry, const char* field) {
   std::int64_t number = 0;
-  // A field that is missing, as in logs of older versions, counts as none.
+  // A field that is missing, as in logs of older versions, counts as 0.
   return absl::SimpleAtoi(entry.Field(field), &number) ? number : 0;
 }
 
-/// The fate that the line of a stop tells; `kOngoing` for other lines.
+/// Returns the fate that a stop event implies; `kOngoing` for other events.
 RunFate FateOfStop(const std::string& event) {
   if (event == "run_displaced") return RunFate::kPreempted;
   if (event == "run_moved") return RunFate::kMovedOffSlow;
@@ -37,7 +37,8 @@
   return RunFate::kOngoing;
 }
 
-/// The fate that an end tells; `kStopped` where another line tells why.
+/// Returns the fate for a logged end; `kStopped` if another line has the
+/// reason.
 RunFate FateOfEnd(const std::string& end) {
   if (end == "done") return RunFate::kDone;
   if (end == "failed") return RunFate::kFailed;
@@ -46,7 +47,7 @@
   return RunFate::kStopped;
 }
 
-/// Takes lines in one after the other.
+/// Builds the histories from log lines that are added in order of time.
 class HistoryReader {
  public:
   void Add(const LogEntry& entry);
@@ -60,7 +61,7 @@
   };
 
   JobHistory* JobOf(const std::string& id);
-  /// The task that the line names; without a job if it names none.
+  /// Returns the task that the line names; `job` is null if it names none.
   Task TaskOf(const LogEntry& entry);
   void AddCall(const LogEntry& entry);
   void AddAssignment(const LogEntry& entry);
@@ -69,15 +70,16 @@
   void AddWait(const LogEntry& entry);
   void AddSettled(const LogEntry& entry);
   void AddLeadership(const LogEntry& entry);
-  void EndReign(const std::string& instance, std::int64_t at_ms);
-  /// Gives members of gangs that ended with another member its fate.
+  void EndLeadershipTerm(const std::string& instance, std::int64_t at_ms);
+  /// Gives gang members that ended because another member ended first the fate
+  /// of that member.
   static void ShareFates(JobHistory* job);
 
   Histories histories_;
-  /// Reigns that go on, by instance.
-  std::map<std::string, std::int64_t> reigns_;
-  /// Each instance's newest line.
-  std::map<std::string, std::int64_t> heard_;
+  /// Start of the current leadership term, by instance.
+  std::map<std::string, std::int64_t> open_terms_;
+  /// Time of the newest line, by instance.
+  std::map<std::string, std::int64_t> last_line_ms_;
 };
 
 JobHistory* HistoryReader::JobOf(const std::string& id) {
@@ -90,11 +92,11 @@
   const std::vector<std::string> parts =
       absl::StrSplit(entry.Field("task"), '.');
   Task task;
-  const bool whole = parts.size() == kTaskParts &&
+  const bool valid = parts.size() == kTaskParts &&
                      absl::SimpleAtoi(parts[1], &task.key.occurrence) &&
                      absl::SimpleAtoi(parts[2], &task.key.step) &&
                      absl::SimpleAtoi(parts[3], &task.key.index);
-  if (!whole) return task;
+  if (!valid) return task;
   task.job = JobOf(parts[0]);
   task.runs = &task.job->tasks[task.key];
   return task;
@@ -113,18 +115,19 @@
   const Task task = TaskOf(entry);
   if (task.job == nullptr) return;
   LoggedRun run;
-  run.number = static_cast<int>(NumberOf(entry, "run"));
+  run.number = static_cast<int>(IntFieldOf(entry, "run"));
   run.runner = entry.Field("runner");
   run.begun_ms = entry.wall_ms;
-  run.expected = Duration(NumberOf(entry, "expected_ms"));
+  run.expected = Duration(IntFieldOf(entry, "expected_ms"));
   const bool far = !entry.Field("near_ms").empty();
-  run.expected_near = far ? Duration(NumberOf(entry, "near_ms")) : run.expected;
-  run.accelerators = NumberOf(entry, "accelerators");
-  run.cpu_millis = NumberOf(entry, "cpu_millis");
-  // A decision that was not stored is made again under the same number.
-  const bool again =
+  run.expected_near =
+      far ? Duration(IntFieldOf(entry, "near_ms")) : run.expected;
+  run.accelerators = IntFieldOf(entry, "accelerators");
+  run.cpu_millis = IntFieldOf(entry, "cpu_millis");
+  // A decision that was not stored is repeated under the same run number.
+  const bool repeated =
       !task.runs->empty() && task.runs->back().number == run.number;
-  if (again) task.runs->pop_back();
+  if (repeated) task.runs->pop_back();
   task.runs->push_back(run);
 }
 
@@ -141,15 +144,15 @@
 void HistoryReader::AddEnd(const LogEntry& entry) {
   const Task task = TaskOf(entry);
   if (task.job == nullptr) return;
-  const auto number = static_cast<int>(NumberOf(entry, "run"));
+  const auto number = static_cast<int>(IntFieldOf(entry, "run"));
   for (LoggedRun& run : *task.runs) {
     if (run.number != number || run.ended_ms != 0) continue;
     run.ended_ms = entry.wall_ms;
     run.saved = entry.Field("saved") == "yes";
-    const RunFate told = FateOfEnd(entry.Field("end"));
-    // What stopped it says more than that it stopped.
-    if (told != RunFate::kStopped || run.fate == RunFate::kOngoing) {
-      run.fate = told;
+    const RunFate reported = FateOfEnd(entry.Field("end"));
+    // The reason of a stop is more specific than `kStopped`.
+    if (reported != RunFate::kStopped || run.fate == RunFate::kOngoing) {
+      run.fate = reported;
     }
     const bool taken_over =
         !histories_.leadership_terms.empty() &&
@@ -165,42 +168,44 @@
       absl::StrSplit(entry.Field("step"), '.');
   int occurrence = 0;
   int step = 0;
-  const bool whole = parts.size() == kStepParts &&
+  const bool valid = parts.size() == kStepParts &&
                      absl::SimpleAtoi(parts[1], &occurrence) &&
                      absl::SimpleAtoi(parts[2], &step);
-  if (!whole) return;
+  if (!valid) return;
   JobOf(parts[0])->waits[{occurrence, step}].push_back(
       {entry.wall_ms, entry.Field("reason"),
-       static_cast<int>(NumberOf(entry, "tasks"))});
+       static_cast<int>(IntFieldOf(entry, "tasks"))});
 }
 
 void HistoryReader::AddSettled(const LogEntry& entry) {
   JobHistory* job = JobOf(entry.Field("job"));
-  // A new scheduler may settle once more what was not stored.
+  // A new scheduler may settle the job again if the first time was not stored.
   job->settled_ms = entry.wall_ms;
   job->state = entry.Field("state");
 }
 
-void HistoryReader::EndReign(const std::string& instance, std::int64_t at_ms) {
-  const auto found = reigns_.find(instance);
-  if (found == reigns_.end()) return;
+void HistoryReader::EndLeadershipTerm(const std::string& instance,
+                                      std::int64_t at_ms) {
+  const auto found = open_terms_.find(instance);
+  if (found == open_terms_.end()) return;
   histories_.leadership_terms.push_back({instance, found->second, at_ms});
-  reigns_.erase(found);
+  open_terms_.erase(found);
 }
 
 void HistoryReader::AddLeadership(const LogEntry& entry) {
   if (entry.event == "leader_lost") {
-    EndReign(entry.instance, entry.wall_ms);
+    EndLeadershipTerm(entry.instance, entry.wall_ms);
     return;
   }
-  // Whoever scheduled before without saying that it stopped did so until its
-  // last line.
-  const std::map<std::string, std::int64_t> before = reigns_;
+  // A previous scheduler that logged no end of its term counts as the scheduler
+  // until its last line.
+  const std::map<std::string, std::int64_t> before = open_terms_;
   for (const auto& [instance, from_ms] : before) {
     if (entry.event == "started" && instance != entry.instance) continue;
-    EndReign(instance, std::max(from_ms, heard_[instance]));
+    EndLeadershipTerm(instance, std::max(from_ms, last_line_ms_[instance]));
   }
-  if (entry.event == "leader_claimed") reigns_[entry.instance] = entry.wall_ms;
+  if (entry.event == "leader_claimed")
+    open_terms_[entry.instance] = entry.wall_ms;
 }
 
 void HistoryReader::Add(const LogEntry& entry) {
@@ -226,26 +231,28 @@
              event == "started") {
     AddLeadership(entry);
   }
-  heard_[entry.instance] = entry.wall_ms;
+  last_line_ms_[entry.instance] = entry.wall_ms;
 }
 
 void HistoryReader::ShareFates(JobHistory* job) {
-  // Members of a gang begin together under one number: by that, and the step,
-  // the one that ended first.
+  // Members of a gang start at the same time with the same run number, so step,
+  // run number and start time identify a gang. `first` holds the member of each
+  // gang that ended first.
   using Group = std::tuple<int, int, int, std::int64_t>;
   const auto group_of = [](const TaskKey& key, const LoggedRun& run) {
     return Group(key.occurrence, key.step, run.number, run.begun_ms);
   };
   std::map<Group, const LoggedRun*> first;
-  const auto tells = [](const LoggedRun& run) {
+  const auto has_known_fate = [](const LoggedRun& run) {
     return run.fate != RunFate::kStopped && run.fate != RunFate::kOngoing &&
            run.fate != RunFate::kDone;
   };
   for (const auto& [key, runs] : job->tasks) {
     for (const LoggedRun& run : runs) {
-      if (!tells(run) || run.ended_ms == 0) continue;
-      const LoggedRun*& known = first[group_of(key, run)];
-      if (known == nullptr || run.ended_ms < known->ended_ms) known = &run;
+      if (!has_known_fate(run) || run.ended_ms == 0) continue;
+      const LoggedRun*& earliest = first[group_of(key, run)];
+      if (earliest == nullptr || run.ended_ms < earliest->ended_ms)
+        earliest = &run;
     }
   }
   for (auto& [key, runs] : job->tasks) {
@@ -267,15 +274,15 @@
 }
 
 Histories HistoryReader::Finish() {
-  const std::map<std::string, std::int64_t> open = reigns_;
+  const std::map<std::string, std::int64_t> open = open_terms_;
   for (const auto& [instance, from_ms] : open) {
-    EndReign(instance, std::max(from_ms, heard_[instance]));
+    EndLeadershipTerm(instance, std::max(from_ms, last_line_ms_[instance]));
   }
   for (auto& [id, job] : histories_.jobs) ShareFates(&job);
   return std::move(histories_);
 }
 
-/// True if the task had ended as done, or had a run, at the moment.
+/// True if the task was done or running at `at_ms`.
 bool WasBusy(const std::vector<LoggedRun>& runs, std::int64_t at_ms) {
   return std::any_of(runs.begin(), runs.end(), [at_ms](const LoggedRun& run) {
     const bool over = run.ended_ms != 0 && run.ended_ms <= at_ms &&
--- a/src/cli/job_history.h
+++ b/src/cli/job_history.h
@@ -1,5 +1,5 @@
 /// @file
-/// Jobs and their runs, as the logs of all processes tell them.
+/// Jobs and their runs, read from the logs of all processes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,36 +19,38 @@
 
 namespace limeledge {
 
-/// Final state of a job that its caller took back.
+/// Final state of a job that its caller cancelled.
 inline constexpr char kStateCancelled[] = "cancelled";
 
-/// Why the scheduler stopped a run, or how it ended otherwise.
+/// How a run ended, or why the scheduler stopped it.
 enum class RunFate {
   kOngoing,
   kDone,
-  /// By its own fault or its runner's.
+  /// The run or its runner failed.
   kFailed,
-  /// Made way for an urgent job.
+  /// Stopped to free its capacity for an urgent job.
   kPreempted,
-  /// Taken off a runner that is slow, stands still or leaves.
+  /// Moved off a slow runner.
   kMovedOffSlow,
+  /// Moved because it made no progress on its runner.
   kStalled,
+  /// Moved because its runner is about to leave.
   kEvacuated,
-  /// Its runner went, or its lease ran out.
+  /// Its runner was lost, or its lease expired.
   kRunnerLost,
   /// A new scheduler did not find it on its runner.
   kLostInFailover,
   kCancelled,
-  /// Never began.
+  /// The runner did not start it.
   kRejected,
-  /// Stopped, and no line tells why.
+  /// Stopped for a reason that the logs do not state.
   kStopped,
 };
 
-/// For people.
+/// Returns the text that reports show; part of the report format.
 const char* ToString(RunFate fate);
 
-/// A task of a job: occurrence, step and index.
+/// Identifies a task within its job.
 struct TaskKey {
   int occurrence = 0;
   int step = 0;
@@ -60,91 +62,93 @@
   }
 };
 
-/// One run of a task. Moments are milliseconds of wall time.
+/// One run of a task. Times are milliseconds of wall time.
 struct LoggedRun {
   int number = 0;
   std::string runner;
   std::int64_t begun_ms = 0;
-  /// 0 while no line tells its end.
+  /// 0 if the logs contain no end.
   std::int64_t ended_ms = 0;
   Duration expected;
-  /// What was expected near its data; the same for a run that is there.
+  /// Expected length near the data of the task; equals `expected` for a run
+  /// that is near its data.
   Duration expected_near;
   std::int64_t accelerators = 0;
   std::int64_t cpu_millis = 0;
   RunFate fate = RunFate::kOngoing;
-  /// A checkpoint was left, from which the next run goes on.
+  /// The run left a checkpoint, from which the next run continues.
   bool saved = false;
-  /// When the scheduler decided to stop it; 0 if no line tells that.
+  /// When the scheduler decided to stop the run; 0 if the logs do not state it.
   std::int64_t stopped_ms = 0;
-  /// The urgent job it made way for.
+  /// The urgent job for which the run was preempted.
   std::string preempted_for;
-  /// Another member of its gang ended first; `fate` is that member's.
+  /// Another member of the gang ended first; `fate` is the fate of that member.
   bool ended_with_gang = false;
 
   Duration length() const { return Duration(ended_ms - begun_ms); }
 };
 
-/// A step begins to wait, or waits for another reason than before.
+/// Start of a wait of a step, or a change of the reason of the wait.
 struct LoggedWait {
   std::int64_t from_ms = 0;
   std::string reason;
-  /// How many of its tasks wait.
+  /// Number of waiting tasks.
   int tasks = 0;
 };
 
 /// Occurrence and step.
 using StepKey = std::pair<int, int>;
 
-/// Tasks of a step.
+/// Numbers of tasks of a step.
 struct StepTasks {
-  /// As far as the logs tell: a task that never ran is known by its index, or
-  /// from lines that tell how many wait.
+  /// Tasks that the logs show to exist: from the highest index of a task that
+  /// was logged, or from lines that state how many tasks wait.
   int known = 0;
-  /// That had a run.
+  /// Tasks that had a run.
   int started = 0;
   int done = 0;
 };
 
-/// One job. Moments are milliseconds of wall time, 0 when no line tells them.
+/// One job. Times are milliseconds of wall time, 0 if the logs do not state
+/// them.
 struct JobHistory {
   std::string id;
   std::string queue;
   std::string workspace;
-  /// First answer to a submit, also a refusal.
+  /// First response to a submit, even if the submit was refused.
   std::int64_t first_submit_ms = 0;
   std::int64_t accepted_ms = 0;
   std::int64_t settled_ms = 0;
   std::string state;
-  /// Runs of each task, in order.
+  /// Runs of each task, in order of their start.
   std::map<TaskKey, std::vector<LoggedRun>> tasks;
-  /// By occurrence and step, in order.
+  /// Waits of each step, in order of time.
   std::map<StepKey, std::vector<LoggedWait>> waits;
 };
 
-/// A time in which one process scheduled.
+/// A time span in which one process was the scheduler.
 struct LeadershipTerm {
   std::string instance;
   std::int64_t from_ms = 0;
   std::int64_t to_ms = 0;
 };
 
-/// All that the logs tell of jobs, and of who scheduled when.
+/// Jobs, and which process was the scheduler at which time.
 struct Histories {
   std::map<std::string, JobHistory> jobs;
   /// In order of time.
   std::vector<LeadershipTerm> leadership_terms;
 };
 
-/// Puts the histories together. `entries`: in order of time. Safe from any
-/// thread.
+/// Builds the histories from log lines. `entries`: in order of time. Safe from
+/// any thread.
 Histories ReadHistories(const std::vector<LogEntry>& entries);
 
-/// Tasks of each step that began. Safe from any thread.
+/// Counts the tasks of each step that the logs mention. Safe from any thread.
 std::map<StepKey, StepTasks> CountTasks(const JobHistory& job);
 
-/// The name of a queue or workspace, or what stands for one that no line tells.
-/// Safe from any thread.
+/// Returns the name of a queue or workspace, or a placeholder if the logs do
+/// not state it. Safe from any thread.
 std::string GroupName(const std::string& name);
 
 }  // namespace limeledge
