--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The program limeledge.
+/// Entry point of the command-line tool limeledge.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,9 +20,9 @@
 
 constexpr char kDefaultServer[] = "127.0.0.1:7100";
 
-std::string EnvironmentOr(const char* name, const char* otherwise) {
+std::string EnvironmentOr(const char* name, const char* fallback) {
   const char* value = std::getenv(name);
-  return value != nullptr ? value : otherwise;
+  return value != nullptr ? value : fallback;
 }
 
 std::string FullName(const Command& command) {
@@ -33,20 +33,18 @@
 void PrintOverview() {
   fmt::print(
       "limeledge: command-line tool of the limeledge scheduler\n\n"
-      "Usage: limeledge VERB [ARGUMENT...] [OPTION...]\n\n");
+      "Usage: limeledge COMMAND [ARGUMENT...] [OPTION...]\n\n");
   for (const Command& command : AllCommands()) {
     fmt::print("  {:<28} {}\n",
                absl::StrCat(FullName(command), " ", command.arguments),
                command.help);
   }
   fmt::print(
-      "\nEvery verb takes --server HOST:PORT (or LIMELEDGE_SERVER; {} when\n"
-      "left out), --token TOKEN or --token-file FILE (or LIMELEDGE_TOKEN), "
-      "and\n"
-      "--json for output that programs read. 'limeledge VERB --help' lists "
-      "its\n"
-      "own options.\n\n"
-      "Exit status: 0 done, 1 refused or failed, 2 wrong usage.\n",
+      "\nEvery command takes --server HOST:PORT (or LIMELEDGE_SERVER; default\n"
+      "{}), --token TOKEN or --token-file FILE (or LIMELEDGE_TOKEN),\n"
+      "and --json for machine-readable output. 'limeledge COMMAND --help'\n"
+      "lists its own options.\n\n"
+      "Exit status: 0 success, 1 refused or failed, 2 usage error.\n",
       kDefaultServer);
 }
 
@@ -60,14 +58,15 @@
   add("h,help", "print this help");
 }
 
-/// Finds the verb that the first words name; null when there is none.
+/// Finds the command that the first arguments name, and sets `words` to the
+/// number of these arguments. Returns null if there is none.
 const Command* FindCommand(const std::vector<Command>& commands, int argc,
                            char** argv, int* words) {
   for (const Command& command : commands) {
-    const int needed = command.verb.empty() ? 1 : 2;
-    if (argc <= needed || command.group != argv[1]) continue;
+    const int name_words = command.verb.empty() ? 1 : 2;
+    if (argc <= name_words || command.group != argv[1]) continue;
     if (!command.verb.empty() && command.verb != argv[2]) continue;
-    *words = needed;
+    *words = name_words;
     return &command;
   }
   return nullptr;
@@ -125,7 +124,7 @@
   const std::vector<Command> commands = AllCommands();
   int words = 0;
   const Command* command = FindCommand(commands, argc, argv, &words);
-  if (command == nullptr) return ReportUsage("no such verb");
+  if (command == nullptr) return ReportUsage("unknown command");
   try {
     return RunCommand(*command, argc - words, argv + words);
   } catch (const cxxopts::exceptions::exception& error) {
--- a/src/cli/node_commands.cc
+++ b/src/cli/node_commands.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The verbs that ask nodes on the users' platform for their state.
+/// The commands that query the state of nodes through their metrics addresses.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,7 +19,7 @@
 
 constexpr Duration kCallTimeout{4000};
 
-/// What one node told of itself; the error is set if it told nothing.
+/// State that one node reported; `error` is set if it reported none.
 struct NodeState {
   std::string address;
   Json::Value state;
@@ -29,9 +29,10 @@
 NodeState ReadNode(const Target& target, const std::string& address) {
   NodeState node;
   node.address = address;
-  Target one = target;
-  one.server = address;
-  const HttpReply reply = CallServer(one, "GET", "/state", "", kCallTimeout);
+  Target node_target = target;
+  node_target.server = address;
+  const HttpReply reply =
+      CallServer(node_target, "GET", "/state", "", kCallTimeout);
   if (!reply.ok()) {
     node.error = reply.outcome == HttpOutcome::kAnswered
                      ? absl::StrCat("answered ", reply.status)
@@ -47,7 +48,7 @@
   return node;
 }
 
-/// All nodes that are named, or the one of --server.
+/// Reads the state of all given addresses, or of --server if none are given.
 std::vector<NodeState> ReadNodes(const Target& target,
                                  const std::vector<std::string>& addresses) {
   std::vector<NodeState> nodes;
@@ -58,8 +59,8 @@
   return nodes;
 }
 
-/// The scheduler's part of the state, of whichever node schedules; null if
-/// none of them does.
+/// Returns the scheduler part of the state of the node that is the scheduler;
+/// null if none of the nodes is.
 const Json::Value* FindScheduler(const std::vector<NodeState>& nodes) {
   for (const NodeState& node : nodes) {
     if (node.state.isMember("scheduler")) return &node.state["scheduler"];
@@ -67,10 +68,11 @@
   return nullptr;
 }
 
-int ReportNobody() {
-  fmt::print(stderr,
-             "limeledge: none of these nodes schedules; name the metrics "
-             "addresses of all nodes\n");
+int ReportNoScheduler() {
+  fmt::print(
+      stderr,
+      "limeledge: none of these nodes is the scheduler; pass the metrics "
+      "addresses of all nodes\n");
   return kExitFailed;
 }
 
@@ -78,7 +80,7 @@
   return value.asBool() ? "yes" : "no";
 }
 
-/// What nodes told of themselves, without what the scheduler tells.
+/// Returns the states of the nodes without the scheduler part.
 Json::Value ToJson(const std::vector<NodeState>& nodes) {
   Json::Value json(Json::arrayValue);
   for (const NodeState& node : nodes) {
@@ -105,10 +107,10 @@
 int ListNodes(const Target& target, const cxxopts::ParseResult&,
               const std::vector<std::string>& arguments) {
   const std::vector<NodeState> nodes = ReadNodes(target, arguments);
-  const bool all_told =
+  const bool all_reported =
       std::all_of(nodes.begin(), nodes.end(),
                   [](const NodeState& node) { return node.error.empty(); });
-  const int exit_status = all_told ? kExitDone : kExitFailed;
+  const int exit_status = all_reported ? kExitDone : kExitFailed;
   if (PrintIfJson(target, WriteJson(ToJson(nodes)))) return exit_status;
   fmt::print("{:<24} {:<20} {:<10} {:<6} {:<6} {}\n", "NODE", "ADDRESS",
              "SCHEDULES", "READY", "STORE", "CONFIGURATION");
@@ -120,7 +122,7 @@
              const std::vector<std::string>& arguments) {
   const std::vector<NodeState> nodes = ReadNodes(target, arguments);
   const Json::Value* scheduler = FindScheduler(nodes);
-  if (scheduler == nullptr) return ReportNobody();
+  if (scheduler == nullptr) return ReportNoScheduler();
   const Json::Value& jobs = (*scheduler)["jobs"];
   if (PrintIfJson(target, WriteJson(jobs))) return kExitDone;
   fmt::print("{:<18} {:<16} {:<12} {:<10} {:>8} {:>8} {:>8}\n", "JOB", "QUEUE",
@@ -167,7 +169,7 @@
                const std::vector<std::string>& arguments) {
   const std::vector<NodeState> nodes = ReadNodes(target, arguments);
   const Json::Value* scheduler = FindScheduler(nodes);
-  if (scheduler == nullptr) return ReportNobody();
+  if (scheduler == nullptr) return ReportNoScheduler();
   const std::map<std::string, QueueCount> queues =
       CountQueues((*scheduler)["jobs"]);
   if (PrintIfJson(target, WriteJson(ToJson(queues)))) return kExitDone;
@@ -184,7 +186,7 @@
                 const std::vector<std::string>& arguments) {
   const std::vector<NodeState> nodes = ReadNodes(target, arguments);
   const Json::Value* scheduler = FindScheduler(nodes);
-  if (scheduler == nullptr) return ReportNobody();
+  if (scheduler == nullptr) return ReportNoScheduler();
   const Json::Value& runners = (*scheduler)["runners"];
   if (PrintIfJson(target, WriteJson(runners))) return kExitDone;
   fmt::print("{:<14} {:<8} {:<10} {:<8} {:>5} {:>6} {:>9} {:>9}\n", "RUNNER",
@@ -206,16 +208,14 @@
 std::vector<Command> NodeCommands() {
   return {
       {"node", "list", "[ADDRESS...]",
-       "Nodes at these metrics addresses: who schedules, configuration.",
+       "List nodes by metrics address: which one schedules, configuration.",
        AddNoOptions, ListNodes},
       {"node", "jobs", "[ADDRESS...]",
-       "Open jobs, as the node that schedules knows them.", AddNoOptions,
-       ListJobs},
-      {"node", "queues", "[ADDRESS...]", "Open jobs and tasks of each queue.",
-       AddNoOptions, ListQueues},
+       "List open jobs as the scheduler sees them.", AddNoOptions, ListJobs},
+      {"node", "queues", "[ADDRESS...]",
+       "Count open jobs and tasks of each queue.", AddNoOptions, ListQueues},
       {"node", "runners", "[ADDRESS...]",
-       "Runners, as the node that schedules knows them.", AddNoOptions,
-       ListRunners},
+       "List runners as the scheduler sees them.", AddNoOptions, ListRunners},
   };
 }
 
