--- a/src/cli/open_jobs.cc
+++ b/src/cli/open_jobs.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Summing up settled and open jobs by queue.
+/// Summarizes settled and open jobs by queue.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -24,72 +24,72 @@
   return tasks;
 }
 
-void CountDisplaced(const JobHistory& job, PreemptionCounts* counts) {
+void AddPreemptions(const JobHistory& job, PreemptionCounts* counts) {
   ++(*counts)[std::min(CountPreemptions(job), counts->size() - 1)];
 }
 
-AgeBand& BandOf(Duration age, QueueSummary* standing) {
+AgeBand& BandOf(Duration age, QueueSummary* summary) {
   std::size_t band = kAgeBandsMs.size() - 1;
   while (band > 0 && age < Duration(kAgeBandsMs[band])) --band;
-  return standing->ages[band];
+  return summary->ages[band];
 }
 
 void AddOpenJob(const JobHistory& job,
                 const std::vector<LeadershipTerm>& leadership_terms,
-                std::int64_t end_ms, QueueSummary* standing) {
-  AgeBand& band = BandOf(Duration(end_ms - job.first_submit_ms), standing);
-  ++standing->open;
+                std::int64_t end_ms, QueueSummary* summary) {
+  AgeBand& band = BandOf(Duration(end_ms - job.first_submit_ms), summary);
+  ++summary->open;
   ++band.jobs;
   band.tasks_not_done += TasksNotDone(job);
-  CountDisplaced(job, &band.preemption_counts);
-  Duration lost;
+  AddPreemptions(job, &band.preemption_counts);
+  Duration delayed;
   for (const Delay& delay : DelaysUntil(job, leadership_terms, end_ms)) {
     Duration& length = band.causes[delay.cause];
     length = length + delay.length;
-    if (delay.cause != kCauseWork) lost = lost + delay.length;
+    if (delay.cause != kCauseWork) delayed = delayed + delay.length;
   }
-  band.worst.Add(static_cast<double>(lost.ms()), job.id);
+  band.worst.Add(static_cast<double>(delayed.ms()), job.id);
 }
 
 void AddIdle(const JobHistory& job, std::int64_t end_ms,
-             QueueSummary* standing) {
+             QueueSummary* summary) {
   const Duration idle = LongestIdle(job, end_ms);
-  if (idle <= standing->longest_idle) return;
-  standing->longest_idle = idle;
-  standing->longest_idle_job = job.id;
+  if (idle <= summary->longest_idle) return;
+  summary->longest_idle = idle;
+  summary->longest_idle_job = job.id;
 }
 
-QueueSummary EmptyStanding() {
-  QueueSummary standing;
+QueueSummary EmptySummary() {
+  QueueSummary summary;
   for (std::size_t band = 0; band < kAgeBandsMs.size(); ++band) {
-    standing.ages[band].from = Duration(kAgeBandsMs[band]);
+    summary.ages[band].from = Duration(kAgeBandsMs[band]);
   }
-  return standing;
+  return summary;
 }
 
 }  // namespace
 
 std::size_t CountPreemptions(const JobHistory& job) {
-  std::set<std::int64_t> moments;
+  std::set<std::int64_t> stop_times;
   for (const auto& [key, runs] : job.tasks) {
     for (const LoggedRun& run : runs) {
-      if (run.fate == RunFate::kPreempted) moments.insert(run.stopped_ms);
+      if (run.fate == RunFate::kPreempted) stop_times.insert(run.stopped_ms);
     }
   }
-  return moments.size();
+  return stop_times.size();
 }
 
 Duration LongestIdle(const JobHistory& job, std::int64_t end_ms) {
   if (job.accepted_ms == 0) return Duration(0);
-  const std::int64_t over_ms = job.settled_ms == 0 ? end_ms : job.settled_ms;
+  const std::int64_t job_end_ms = job.settled_ms == 0 ? end_ms : job.settled_ms;
   std::vector<std::pair<std::int64_t, std::int64_t>> busy;
   for (const auto& [key, runs] : job.tasks) {
     for (const LoggedRun& run : runs) {
       busy.emplace_back(run.begun_ms,
-                        run.ended_ms == 0 ? over_ms : run.ended_ms);
+                        run.ended_ms == 0 ? job_end_ms : run.ended_ms);
     }
   }
-  busy.emplace_back(over_ms, over_ms);
+  busy.emplace_back(job_end_ms, job_end_ms);
   std::sort(busy.begin(), busy.end());
   std::int64_t idle_from_ms = job.accepted_ms;
   std::int64_t longest_ms = 0;
@@ -104,18 +104,18 @@
                                                     std::int64_t end_ms) {
   std::map<std::string, QueueSummary> queue_summaries;
   for (const auto& [id, job] : histories.jobs) {
-    const bool counts = job.accepted_ms != 0 && job.state != kStateCancelled;
-    if (!counts) continue;
-    QueueSummary& standing =
-        queue_summaries.try_emplace(GroupName(job.queue), EmptyStanding())
+    const bool included = job.accepted_ms != 0 && job.state != kStateCancelled;
+    if (!included) continue;
+    QueueSummary& summary =
+        queue_summaries.try_emplace(GroupName(job.queue), EmptySummary())
             .first->second;
     if (job.settled_ms == 0) {
-      AddOpenJob(job, histories.leadership_terms, end_ms, &standing);
+      AddOpenJob(job, histories.leadership_terms, end_ms, &summary);
     } else {
-      ++standing.settled;
+      ++summary.settled;
     }
-    CountDisplaced(job, &standing.preemption_counts);
-    AddIdle(job, end_ms, &standing);
+    AddPreemptions(job, &summary.preemption_counts);
+    AddIdle(job, end_ms, &summary);
   }
   return queue_summaries;
 }
--- a/src/cli/open_jobs.h
+++ b/src/cli/open_jobs.h
@@ -1,5 +1,5 @@
 /// @file
-/// Jobs that have not settled, by age and by how often they made way.
+/// Jobs that have not settled, by age and by how often they were preempted.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,26 +19,26 @@
 
 namespace limeledge {
 
-/// Ages in milliseconds at which the bands of open jobs begin. Each is about
-/// twice the one before: a job whose runs take seconds is late in the third,
-/// and starves in the last.
+/// Lower bounds of the age bands of open jobs, in milliseconds. Each is about
+/// twice the previous one: a job whose runs take seconds is late in the third
+/// band, and starves in the last.
 inline constexpr std::array<std::int64_t, 5> kAgeBandsMs = {0, 5000, 10000,
                                                             20000, 40000};
 
-/// Numbers of jobs, by how often their runs made way: never, once, twice, and
-/// three times or more. Runs of a job that are stopped in the same millisecond
-/// make way once.
+/// Numbers of jobs, by how often their runs were preempted: never, once, twice,
+/// and three times or more. Runs of a job that are stopped in the same
+/// millisecond count as one preemption.
 using PreemptionCounts = std::array<int, 4>;
 
 /// Open jobs of one queue and similar age.
 struct AgeBand {
   Duration from;
   int jobs = 0;
-  /// Of steps that began, as far as the logs tell.
+  /// Unfinished tasks of the steps that the logs mention.
   int tasks_not_done = 0;
   std::map<std::string, Duration> causes;
   PreemptionCounts preemption_counts = {};
-  /// By their time beyond work.
+  /// The jobs with the most time spent on causes other than work.
   TopJobs worst;
 };
 
@@ -46,25 +46,25 @@
 struct QueueSummary {
   int settled = 0;
   int open = 0;
-  /// One for each of `kAgeBandsMs`.
+  /// Open jobs, one band for each entry of `kAgeBandsMs`.
   std::array<AgeBand, kAgeBandsMs.size()> ages;
-  /// Of settled and open jobs.
+  /// Preemptions of settled and open jobs.
   PreemptionCounts preemption_counts = {};
-  /// The longest time in which a job that was not over had no run.
+  /// The longest time in which an unsettled job had no run.
   Duration longest_idle;
   std::string longest_idle_job;
 };
 
-/// How often runs of the job made way. Safe from any thread.
+/// Returns how often the job's runs were preempted. Safe from any thread.
 std::size_t CountPreemptions(const JobHistory& job);
 
-/// The longest time without any run, from the job's acceptance to its end, or
-/// to `end_ms` if it is open. Zero if it was not accepted. Safe from any
-/// thread.
+/// Returns the longest time without any run, from the job's acceptance to its
+/// end, or to `end_ms` if the job is open. Zero if the job was not accepted.
+/// Safe from any thread.
 Duration LongestIdle(const JobHistory& job, std::int64_t end_ms);
 
-/// Sums up settled and open jobs by queue. `end_ms`: the last line's wall time.
-/// Safe from any thread.
+/// Summarizes settled and open jobs by queue. `end_ms`: the wall time of the
+/// last log line. Safe from any thread.
 std::map<std::string, QueueSummary> SummarizeQueues(const Histories& histories,
                                                     std::int64_t end_ms);
 
--- a/test/open-jobs-test.cc
+++ b/test/open-jobs-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of telling from logs which jobs starve.
+/// Tests of the summaries of open and settled jobs, which show starving jobs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,17 +16,17 @@
 
 namespace limeledge {
 
-// What the queue's standing tells of its jobs.
+// Summary of the queue that the fixture's job is in.
 class OpenJobsFixture : public LogLinesFixture {
  public:
-  QueueSummary Standing() {
+  QueueSummary Summary() {
     return MakeWorkReport(lines, 10).queue_summaries["sweep"];
   }
 
-  /// The only band with jobs.
+  /// Returns the only age band with jobs.
   AgeBand Band() {
-    const QueueSummary standing = Standing();
-    for (const AgeBand& band : standing.ages) {
+    const QueueSummary summary = Summary();
+    for (const AgeBand& band : summary.ages) {
       if (band.jobs > 0) return band;
     }
     return AgeBand();
@@ -41,14 +41,14 @@
 
 TEST_GROUP_BASE(OpenJobs, OpenJobsFixture){};
 
-TEST(OpenJobs, JobWithoutAnEndIsToldApartFromSettledOnes) {
+TEST(OpenJobs, JobWithoutAnEndIsCountedAsOpen) {
   Submit(1000, "bb", "sweep", "roads");
   Assign(1100, "bb.0.0.0", 1);
   End(3000, "bb.0.0.0", 1, "done");
   Settle(3000, "bb");
   EndLogs(4000);
-  LONGS_EQUAL(1, Standing().settled);
-  LONGS_EQUAL(1, Standing().open);
+  LONGS_EQUAL(1, Summary().settled);
+  LONGS_EQUAL(1, Summary().open);
 }
 
 TEST(OpenJobs, CancelledJobIsNotCounted) {
@@ -62,16 +62,16 @@
   Submit(36000, "cc", "sweep", "roads");
   Submit(36001, "dd", "sweep", "roads");
   EndLogs(41000);
-  const QueueSummary standing = Standing();
-  LONGS_EQUAL(1, standing.ages[0].jobs);
-  LONGS_EQUAL(1, standing.ages[1].jobs);
-  LONGS_EQUAL(1, standing.ages[2].jobs);
-  LONGS_EQUAL(0, standing.ages[3].jobs);
-  LONGS_EQUAL(1, standing.ages[4].jobs);
-  STRCMP_EQUAL("aa", standing.ages[4].worst.jobs().at(0).c_str());
+  const QueueSummary summary = Summary();
+  LONGS_EQUAL(1, summary.ages[0].jobs);
+  LONGS_EQUAL(1, summary.ages[1].jobs);
+  LONGS_EQUAL(1, summary.ages[2].jobs);
+  LONGS_EQUAL(0, summary.ages[3].jobs);
+  LONGS_EQUAL(1, summary.ages[4].jobs);
+  STRCMP_EQUAL("aa", summary.ages[4].worst.jobs().at(0).c_str());
 }
 
-TEST(OpenJobs, WaitThatTheLogsCutOffLastsToTheirLastLine) {
+TEST(OpenJobs, WaitWithoutALoggedEndLastsToTheLastLine) {
   Wait(1200, "aa.0.0", 3);
   EndLogs(9000);
   LONGS_EQUAL(200, CauseMs(kCauseDeciding));
@@ -79,7 +79,7 @@
   LONGS_EQUAL(3, Band().tasks_not_done);
 }
 
-TEST(OpenJobs, RunThatTheLogsCutOffIsWorkUpToItsExpectedLength) {
+TEST(OpenJobs, RunWithoutALoggedEndIsWorkUpToItsExpectedLength) {
   Assign(1500, "aa.0.0.0", 1);
   EndLogs(4500);
   LONGS_EQUAL(2000, CauseMs(kCauseWork));
@@ -87,7 +87,7 @@
   LONGS_EQUAL(500, CauseMs(kCauseDeciding));
 }
 
-TEST(OpenJobs, TaskThatHasHadNoRunForLongestDecides) {
+TEST(OpenJobs, TaskWithoutARunForLongestDeterminesTheCauses) {
   Assign(1000, "aa.0.0.0", 1);
   Assign(1000, "aa.0.0.1", 1);
   Preempt(2000, "aa.0.0.1", "bb");
@@ -99,7 +99,7 @@
   LONGS_EQUAL(0, CauseMs(kCauseWork));
 }
 
-TEST(OpenJobs, RunThatBeganLastDecidesIfNoTaskWaits) {
+TEST(OpenJobs, RunThatBeganLastDeterminesTheCausesIfNoTaskWaits) {
   Assign(1000, "aa.0.0.0", 1);
   Assign(1800, "aa.0.0.1", 1);
   EndLogs(2500);
@@ -107,7 +107,7 @@
   LONGS_EQUAL(800, CauseMs(kCauseDeciding));
 }
 
-TEST(OpenJobs, WaitAfterAnEarlierStepIsToldByItsOwnReason) {
+TEST(OpenJobs, WaitAfterAnEarlierStepHasItsOwnReason) {
   Assign(1000, "aa.0.0.0", 1);
   End(3000, "aa.0.0.0", 1, "done");
   Wait(3000, "aa.0.1", 2, "others make way");
@@ -117,7 +117,7 @@
   LONGS_EQUAL(2, Band().tasks_not_done);
 }
 
-TEST(OpenJobs, DoneTasksAreNotCountedAmongThoseLeft) {
+TEST(OpenJobs, DoneTasksAreNotCountedAsUnfinished) {
   Assign(1000, "aa.0.0.0", 1);
   Assign(1000, "aa.0.0.1", 1);
   Wait(1000, "aa.0.0", 4);
@@ -126,7 +126,7 @@
   LONGS_EQUAL(5, Band().tasks_not_done);
 }
 
-TEST(OpenJobs, PartsOfAnOpenJobsTimeAddUpToItsAge) {
+TEST(OpenJobs, DelaysOfAnOpenJobAddUpToItsAge) {
   Assign(1200, "aa.0.0.0", 1);
   End(2500, "aa.0.0.0", 1, "failed");
   Assign(2600, "aa.0.0.0", 2);
@@ -144,17 +144,17 @@
   LONGS_EQUAL(600, CauseMs(kCauseSettling));
 }
 
-TEST(OpenJobs, RunsStoppedInOneMillisecondMadeWayOnce) {
+TEST(OpenJobs, RunsStoppedInOneMillisecondCountAsOnePreemption) {
   Assign(1000, "aa.0.0.0", 1);
   Assign(1000, "aa.0.0.1", 1);
   Preempt(2000, "aa.0.0.0", "bb");
   Preempt(2000, "aa.0.0.1", "bb");
   EndLogs(2500);
   LONGS_EQUAL(1, Band().preemption_counts[1]);
-  LONGS_EQUAL(1, Standing().preemption_counts[1]);
+  LONGS_EQUAL(1, Summary().preemption_counts[1]);
 }
 
-TEST(OpenJobs, MemberOfAGangThatMadeWayDoesNotCountAgain) {
+TEST(OpenJobs, OtherMembersOfAPreemptedGangAreNotCounted) {
   Assign(1000, "aa.0.0.0", 1);
   Assign(1000, "aa.0.0.1", 1);
   Preempt(2000, "aa.0.0.0", "bb");
@@ -164,7 +164,7 @@
   LONGS_EQUAL(1, Band().preemption_counts[1]);
 }
 
-TEST(OpenJobs, DisplacementsBeyondTheThirdAreInTheLastClass) {
+TEST(OpenJobs, MoreThanThreePreemptionsAreInTheLastClass) {
   std::int64_t begun_ms = 1000;
   for (int run = 1; run <= 4; ++run) {
     Assign(begun_ms, "aa.0.0.0", run);
@@ -177,39 +177,39 @@
   LONGS_EQUAL(1, Band().preemption_counts[3]);
 }
 
-TEST(OpenJobs, SettledJobCountsAmongTheQueuesDisplacedOnes) {
+TEST(OpenJobs, PreemptionsOfASettledJobAreCounted) {
   Assign(1000, "aa.0.0.0", 1);
   Preempt(1500, "aa.0.0.0", "bb");
   End(1600, "aa.0.0.0", 1, "stopped");
   Assign(1700, "aa.0.0.0", 2);
   End(3700, "aa.0.0.0", 2, "done");
   Settle(3700, "aa");
-  LONGS_EQUAL(1, Standing().preemption_counts[1]);
-  LONGS_EQUAL(0, Standing().open);
+  LONGS_EQUAL(1, Summary().preemption_counts[1]);
+  LONGS_EQUAL(0, Summary().open);
 }
 
-TEST(OpenJobs, LongestTimeWithoutARunSpansTasksAndTheLogsEnd) {
+TEST(OpenJobs, LongestIdleTimeSpansTasksAndLastsToTheLastLine) {
   Assign(1300, "aa.0.0.0", 1);
   Assign(2000, "aa.0.0.1", 1);
   End(3300, "aa.0.0.0", 1, "failed");
   End(4000, "aa.0.0.1", 1, "failed");
   EndLogs(9000);
-  LONGS_EQUAL(5000, Standing().longest_idle.ms());
-  STRCMP_EQUAL("aa", Standing().longest_idle_job.c_str());
+  LONGS_EQUAL(5000, Summary().longest_idle.ms());
+  STRCMP_EQUAL("aa", Summary().longest_idle_job.c_str());
 }
 
-TEST(OpenJobs, RunThatTheLogsCutOffIsNoWait) {
+TEST(OpenJobs, RunWithoutALoggedEndIsNotIdleTime) {
   Assign(1300, "aa.0.0.0", 1);
   EndLogs(9000);
-  LONGS_EQUAL(300, Standing().longest_idle.ms());
+  LONGS_EQUAL(300, Summary().longest_idle.ms());
 }
 
-TEST(OpenJobs, TimeAfterAJobSettledIsNoWait) {
+TEST(OpenJobs, TimeAfterAJobSettledIsNotIdleTime) {
   Assign(1300, "aa.0.0.0", 1);
   End(3300, "aa.0.0.0", 1, "done");
   Settle(3300, "aa");
   EndLogs(9000);
-  LONGS_EQUAL(300, Standing().longest_idle.ms());
+  LONGS_EQUAL(300, Summary().longest_idle.ms());
 }
 
 }  // namespace limeledge
