--- a/src/cli/policy_commands.cc
+++ b/src/cli/policy_commands.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The verbs of placement policies.
+/// The commands that list and compare placement policies.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -33,27 +33,28 @@
 }
 
 void AddCompareOptions(cxxopts::OptionAdder& add) {
-  add("policies", "names, separated by commas",
+  add("policies", "policy names, separated by commas",
       cxxopts::value<std::vector<std::string>>()->default_value(
           "fifo,backfill,cells"));
   add("seed", "seed of the workload",
       cxxopts::value<std::uint64_t>()->default_value("1"));
   add("jobs", "jobs", cxxopts::value<int>()->default_value("400"));
-  add("load", "accelerators asked for over those there, percent",
+  add("load", "requested accelerators in percent of the available ones",
       cxxopts::value<int>()->default_value("90"));
-  add("racks", "racks of the hall", cxxopts::value<int>()->default_value("6"));
-  add("workers-per-rack", "workers in a rack",
+  add("racks", "number of racks in the hall",
+      cxxopts::value<int>()->default_value("6"));
+  add("workers-per-rack", "number of workers in a rack",
       cxxopts::value<int>()->default_value("8"));
-  add("accelerators", "accelerators of a worker",
+  add("accelerators", "number of accelerators of a worker",
       cxxopts::value<int>()->default_value("8"));
   add("workspaces", "workspaces", cxxopts::value<int>()->default_value("4"));
-  add("gang", "most members of a gang",
+  add("gang", "maximum number of members of a gang",
       cxxopts::value<int>()->default_value("8"));
-  add("html", "write a page with plots to this file",
+  add("html", "write an HTML page with plots to this file",
       cxxopts::value<std::string>());
 }
 
-/// Returns the first name that is no policy, or an empty string.
+/// Returns the first name that is not a policy, or an empty string.
 std::string UnknownPolicy(const std::vector<std::string>& names) {
   for (const std::string& name : names) {
     if (FindPlacementPolicy(name) == nullptr) return name;
@@ -66,7 +67,7 @@
   const auto policies = args["policies"].as<std::vector<std::string>>();
   const std::string unknown = UnknownPolicy(policies);
   if (!unknown.empty()) {
-    return ReportUsage("no policy is called '" + unknown + "'");
+    return ReportUsage("unknown policy '" + unknown + "'");
   }
   WorkloadOptions options;
   options.seed = args["seed"].as<std::uint64_t>();
@@ -77,23 +78,23 @@
   options.accelerators_per_worker = args["accelerators"].as<int>();
   options.workspaces = args["workspaces"].as<int>();
   options.largest_gang = args["gang"].as<int>();
-  const bool sensible = options.jobs > 0 && options.load_percent > 0 &&
-                        options.racks > 0 && options.workers_per_rack > 0 &&
-                        options.accelerators_per_worker >= 8 &&
-                        options.workspaces > 0 && options.largest_gang > 1;
-  if (!sensible) {
+  const bool valid = options.jobs > 0 && options.load_percent > 0 &&
+                     options.racks > 0 && options.workers_per_rack > 0 &&
+                     options.accelerators_per_worker >= 8 &&
+                     options.workspaces > 0 && options.largest_gang > 1;
+  if (!valid) {
     return ReportUsage(
-        "sizes must be positive, with 8 accelerators or more "
-        "on a worker");
+        "sizes must be positive, --accelerators at least 8, and "
+        "--gang at least 2");
   }
   const Comparison comparison =
       ComparePolicies(MakeWorkload(options), policies);
   fmt::print("{}", target.json ? FormatJson(comparison) + "\n"
                                : FormatTable(comparison));
   if (args.count("html") == 0) return kExitDone;
-  std::ofstream page(args["html"].as<std::string>());
-  page << FormatHtml(comparison);
-  return page.good() ? kExitDone : kExitFailed;
+  std::ofstream html_file(args["html"].as<std::string>());
+  html_file << FormatHtml(comparison);
+  return html_file.good() ? kExitDone : kExitFailed;
 }
 
 }  // namespace
@@ -101,7 +102,7 @@
 std::vector<Command> PolicyCommands() {
   return {
       {"policy", "compare", "",
-       "Run several policies over one workload and print them side by side.",
+       "Run several policies on one workload and compare the results.",
        AddCompareOptions, Compare},
       {"policy", "list", "", "List placement policies.", AddNoOptions,
        ListPolicies},
--- a/src/cli/replay_command.cc
+++ b/src/cli/replay_command.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The verb that replays recorded sessions.
+/// The command that replays recorded sessions.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -69,7 +69,7 @@
 
 std::vector<Command> ReplayCommands() {
   return {{"replay", "", "FILE",
-           "Reduce a recorded session again and sum up its effects.",
+           "Replay a recorded session and summarize its effects.",
            AddReplayOptions, Replay}};
 }
 
