--- a/src/cli/report_command.cc
+++ b/src/cli/report_command.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The verb that tells from logs where time and work went.
+/// The command that reports from logs how time and work were spent, by cause.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -26,9 +26,9 @@
 constexpr double kPercent = 100;
 
 void AddReportOptions(cxxopts::OptionAdder& add) {
-  add("seconds", "how many of the worst seconds to name",
+  add("seconds", "number of worst seconds to print",
       cxxopts::value<std::size_t>()->default_value(kDefaultSeconds));
-  add("slot", "seconds of a slot in the use of accelerators over time",
+  add("slot", "length in seconds of a time slot in the accelerator use",
       cxxopts::value<int>()->default_value(
           absl::StrCat(kDefaultSlot.ms() / kMillisPerSecond)));
 }
@@ -148,7 +148,7 @@
   }
 }
 
-void PrintDisplacing(
+void PrintPreemptions(
     const std::map<std::string, PreemptionTotal>& preemptions) {
   if (preemptions.empty()) return;
   fmt::print("\nRuns that made way, by the queue that they made way for\n");
@@ -180,7 +180,7 @@
   PrintGroups("Queue", report.queues);
   PrintGroups("Workspace", report.workspaces);
   PrintWaste(report.waste);
-  PrintDisplacing(report.preemptions);
+  PrintPreemptions(report.preemptions);
   PrintSeconds(report.worst_seconds);
   PrintQueueSummaries(report.queue_summaries);
   PrintUse(report.use);
@@ -189,12 +189,12 @@
 int Report(const Target& target, const cxxopts::ParseResult& args,
            const std::vector<std::string>& arguments) {
   const int slot = args["slot"].as<int>();
-  if (slot <= 0) return ReportUsage("--slot takes a number above zero");
-  MergedLog story;
-  const absl::Status status = AddLogFiles(arguments, &story);
+  if (slot <= 0) return ReportUsage("--slot must be above zero");
+  MergedLog log;
+  const absl::Status status = AddLogFiles(arguments, &log);
   if (!status.ok()) return ReportUsage(std::string(status.message()));
   const WorkReport report =
-      MakeWorkReport(story.Lines(), args["seconds"].as<std::size_t>(),
+      MakeWorkReport(log.Lines(), args["seconds"].as<std::size_t>(),
                      Duration(slot * kMillisPerSecond));
   if (target.json) {
     fmt::print("{}\n", WriteJson(ToJson(report)));
@@ -207,9 +207,10 @@
 }  // namespace
 
 std::vector<Command> ReportCommands() {
-  return {{"report", "", "[FILE...]",
-           "Tell from the logs of all processes where time and work went.",
-           AddReportOptions, Report}};
+  return {
+      {"report", "", "[FILE...]",
+       "Report from the logs of all processes how time and work were spent.",
+       AddReportOptions, Report}};
 }
 
 }  // namespace limeledge
--- a/src/cli/report_values.cc
+++ b/src/cli/report_values.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Forming the report's values.
+/// Formats values of the report.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/src/cli/report_values.h
+++ b/src/cli/report_values.h
@@ -1,5 +1,5 @@
 /// @file
-/// Values as the report's tables and its JSON show them.
+/// Formats values for the tables and the JSON of the report.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,13 +15,13 @@
 
 namespace limeledge {
 
-/// In seconds. Safe from any thread.
+/// Converts a duration to seconds. Safe from any thread.
 double Seconds(Duration length);
 
-/// The jobs, with blanks between them. Safe from any thread.
+/// Returns the ids of the jobs, separated by spaces. Safe from any thread.
 std::string JoinJobs(const TopJobs& top_jobs);
 
-/// The jobs as an array. Safe from any thread.
+/// Returns the ids of the jobs as a JSON array. Safe from any thread.
 Json::Value ToJson(const TopJobs& top_jobs);
 
 }  // namespace limeledge
