--- a/src/cli/request_commands.cc
+++ b/src/cli/request_commands.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The verb of requests.
+/// The command that sends requests.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,24 +13,25 @@
 
 namespace {
 
-constexpr Duration kSlack{10000};
-constexpr std::int64_t kLongestMs = 3600000;
+constexpr Duration kTimeoutMargin{10000};
+constexpr std::int64_t kDefaultTimeoutMs = 3600000;
 
 void AddSendOptions(cxxopts::OptionAdder& add) {
   add("workspace", "workspace of the request", cxxopts::value<std::string>());
   add("class", "class of the request", cxxopts::value<std::string>());
-  add("payload", "text for the runner, @FILE to read it, @- for standard input",
+  add("payload",
+      "text passed to the runner; @FILE reads a file, @- standard input",
       cxxopts::value<std::string>()->default_value(""));
-  add("deadline-ms", "time that the request may take",
+  add("deadline-ms", "maximum time for the request",
       cxxopts::value<std::int64_t>());
   add("repeatable", "the request may run more than once");
 }
 
 int Send(const Target& target, const cxxopts::ParseResult& args,
          const std::vector<std::string>& arguments) {
-  const bool named = arguments.size() == 1 && args.count("workspace") != 0 &&
-                     args.count("class") != 0;
-  if (!named) {
+  const bool complete = arguments.size() == 1 && args.count("workspace") != 0 &&
+                        args.count("class") != 0;
+  if (!complete) {
     return ReportUsage("request send needs ID, --workspace and --class");
   }
   Json::Value json(Json::objectValue);
@@ -45,14 +46,14 @@
   }
   json["payload"] = payload;
   if (args.count("repeatable") != 0) json["repeatable"] = true;
-  Duration timeout(kLongestMs);
+  Duration timeout(kDefaultTimeoutMs);
   if (args.count("deadline-ms") != 0) {
     const std::int64_t deadline_ms = args["deadline-ms"].as<std::int64_t>();
     json["deadline_ms"] = Json::Int64(deadline_ms);
     timeout = Duration(deadline_ms);
   }
   const HttpReply reply = CallServer(target, "POST", "/v1/requests",
-                                     WriteJson(json), timeout + kSlack);
+                                     WriteJson(json), timeout + kTimeoutMargin);
   if (!reply.ok()) return ReportFailure(target, reply);
   if (PrintIfJson(target, reply.body)) return kExitDone;
   const absl::StatusOr<Json::Value> answer = ParseJson(reply.body);
--- a/src/cli/state_commands.cc
+++ b/src/cli/state_commands.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The verbs that look into the processes.
+/// The commands that print the internal state of instances.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -70,9 +70,9 @@
 
 std::vector<Command> StateCommands() {
   return {
-      {"state", "dump", "", "Print everything that one instance knows.",
-       AddNoOptions, Dump},
-      {"members", "", "", "List instances, and who plans which hall.",
+      {"state", "dump", "", "Print the state of one instance.", AddNoOptions,
+       Dump},
+      {"members", "", "", "List instances, and the planner of each hall.",
        AddNoOptions, Members},
   };
 }
