--- a/src/cli/settings_commands.cc
+++ b/src/cli/settings_commands.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The verbs of settings.
+/// The commands that check, apply and show settings.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -29,23 +29,24 @@
 
 using Arguments = std::vector<std::string>;
 
-/// The settings in force at the server.
-struct Present {
+/// The current settings of the server and the version in force at each
+/// instance.
+struct CurrentSettings {
   std::int64_t version = 0;
   std::string text;
   Json::Value in_force;
 };
 
-/// Reads the present settings, or reports why not and returns an exit code.
-int ReadPresent(const Target& target, Present* present) {
+/// Reads the current settings. Reports a failure and returns an exit status.
+int ReadCurrent(const Target& target, CurrentSettings* current) {
   const HttpReply reply =
       CallServer(target, "GET", "/v1/settings", "", kCallTimeout);
   if (!reply.ok()) return ReportFailure(target, reply);
   const absl::StatusOr<Json::Value> json = ParseJson(reply.body);
   if (!json.ok()) return kExitFailed;
-  present->version = (*json)["version"].asInt64();
-  present->text = (*json)["text"].asString();
-  present->in_force = (*json)["in_force"];
+  current->version = (*json)["version"].asInt64();
+  current->text = (*json)["text"].asString();
+  current->in_force = (*json)["in_force"];
   return kExitDone;
 }
 
@@ -56,7 +57,8 @@
   return kExitFailed;
 }
 
-/// Reads a settings file and reports all findings; null when there are any.
+/// Reads and checks a settings file. Reports all findings and returns null if
+/// there are any.
 std::shared_ptr<const Settings> CheckFile(const std::string& path,
                                           std::string* text, int* exit_code) {
   const absl::StatusOr<std::string> content = ReadFile(path);
@@ -89,45 +91,46 @@
 }
 
 void AddApplyOptions(cxxopts::OptionAdder& add) {
-  add("base", "version that was edited; the present one when left out",
+  add("base", "version that was edited (default: the current version)",
       cxxopts::value<std::int64_t>());
-  add("wait", "return when every live instance has it in force");
+  add("wait", "wait until the version is in force at every live instance");
   add("timeout-ms", "longest time to wait",
       cxxopts::value<std::int64_t>()->default_value("10000"));
 }
 
-/// Names live instances that do not have `version` in force.
-std::vector<std::string> Behind(const Json::Value& in_force,
-                                std::int64_t version) {
-  std::vector<std::string> behind;
+/// Returns the ids of live instances that have an older version in force.
+std::vector<std::string> OutdatedInstances(const Json::Value& in_force,
+                                           std::int64_t version) {
+  std::vector<std::string> outdated;
   for (const Json::Value& entry : in_force) {
-    const bool late =
+    const bool is_outdated =
         entry["live"].asBool() && entry["version"].asInt64() < version;
-    if (late) behind.push_back(entry["instance"].asString());
+    if (is_outdated) outdated.push_back(entry["instance"].asString());
   }
-  return behind;
+  return outdated;
 }
 
 int WaitInForce(const Target& target, std::int64_t version,
                 std::int64_t timeout_ms) {
   const SteadyClock clock;
-  const TimePoint until = clock.Now() + Duration(timeout_ms);
+  const TimePoint deadline = clock.Now() + Duration(timeout_ms);
   while (true) {
-    Present present;
-    const int code = ReadPresent(target, &present);
+    CurrentSettings current;
+    const int code = ReadCurrent(target, &current);
     if (code != kExitDone) return code;
-    const std::vector<std::string> behind = Behind(present.in_force, version);
-    if (present.version >= version && behind.empty()) {
+    const std::vector<std::string> outdated =
+        OutdatedInstances(current.in_force, version);
+    if (current.version >= version && outdated.empty()) {
       fmt::print("version {} is in force at {} instances\n", version,
-                 present.in_force.size());
+                 current.in_force.size());
       return kExitDone;
     }
-    if (clock.Now() >= until) {
+    if (clock.Now() >= deadline) {
       fmt::print(stderr,
                  "limeledge: version {} is accepted, but not yet in "
                  "force at:",
                  version);
-      for (const std::string& id : behind) fmt::print(stderr, " {}", id);
+      for (const std::string& id : outdated) fmt::print(stderr, " {}", id);
       fmt::print(stderr, "\n");
       return kExitFailed;
     }
@@ -145,10 +148,10 @@
   if (args.count("base") != 0) {
     base = args["base"].as<std::int64_t>();
   } else {
-    Present present;
-    const int code = ReadPresent(target, &present);
+    CurrentSettings current;
+    const int code = ReadCurrent(target, &current);
     if (code != kExitDone) return code;
-    base = present.version;
+    base = current.version;
   }
   const HttpReply reply = CallServer(target, "PUT", "/v1/settings", text,
                                      kCallTimeout, absl::StrCat(base));
@@ -178,10 +181,10 @@
   if (settings == nullptr) return PrintFindings(findings);
   const std::vector<EffectiveValue> values = settings->Explain(path);
   if (values.empty()) {
-    return ReportUsage(absl::StrCat(
-        "'", path,
-        "' names no node; nodes are defaults, classes/C, workspaces/W and "
-        "workspaces/W/classes/C"));
+    return ReportUsage(absl::StrCat("'", path,
+                                    "' is not a settings node; nodes are "
+                                    "defaults, classes/C, workspaces/W and "
+                                    "workspaces/W/classes/C"));
   }
   Json::Value json(Json::arrayValue);
   for (const EffectiveValue& value : values) {
@@ -201,34 +204,34 @@
 
 int Show(const Target& target, const cxxopts::ParseResult& args,
          const Arguments&) {
-  Present present;
+  CurrentSettings current;
   if (args.count("file") != 0) {
     const auto text = ReadFile(args["file"].as<std::string>());
     if (!text.ok()) return ReportUsage(std::string(text.status().message()));
-    present.text = *text;
+    current.text = *text;
   } else {
-    const int code = ReadPresent(target, &present);
+    const int code = ReadCurrent(target, &current);
     if (code != kExitDone) return code;
   }
   if (args.count("effective") != 0) {
-    return ShowEffective(target, present.text,
+    return ShowEffective(target, current.text,
                          args["effective"].as<std::string>());
   }
   if (target.json) {
     Json::Value json(Json::objectValue);
-    json["version"] = Json::Int64(present.version);
-    json["text"] = present.text;
-    json["in_force"] = present.in_force;
+    json["version"] = Json::Int64(current.version);
+    json["text"] = current.text;
+    json["in_force"] = current.in_force;
     fmt::print("{}\n", WriteJson(json));
     return kExitDone;
   }
-  fmt::print("# version {}\n", present.version);
-  for (const Json::Value& entry : present.in_force) {
+  fmt::print("# version {}\n", current.version);
+  for (const Json::Value& entry : current.in_force) {
     fmt::print("# in force at {}: {}{}\n", entry["instance"].asString(),
                entry["version"].asInt64(),
                entry["live"].asBool() ? "" : " (not live)");
   }
-  fmt::print("{}", present.text);
+  fmt::print("{}", current.text);
   return kExitDone;
 }
 
@@ -237,10 +240,10 @@
   if (arguments.size() != 1) return ReportUsage("settings diff needs a FILE");
   const absl::StatusOr<std::string> text = ReadFile(arguments[0]);
   if (!text.ok()) return ReportUsage(std::string(text.status().message()));
-  Present present;
-  const int code = ReadPresent(target, &present);
+  CurrentSettings current;
+  const int code = ReadCurrent(target, &current);
   if (code != kExitDone) return code;
-  const std::vector<DiffLine> lines = DiffLines(present.text, *text);
+  const std::vector<DiffLine> lines = DiffLines(current.text, *text);
   Json::Value json(Json::arrayValue);
   for (const DiffLine& line : lines) {
     if (line.kind == DiffKind::kSame) continue;
@@ -256,7 +259,8 @@
 }
 
 void AddHistoryOptions(cxxopts::OptionAdder& add) {
-  add("count", "how many versions", cxxopts::value<int>()->default_value("10"));
+  add("count", "maximum number of versions",
+      cxxopts::value<int>()->default_value("10"));
   add("version", "print the text of one version",
       cxxopts::value<std::int64_t>());
 }
@@ -284,14 +288,14 @@
   }
   if (wanted == 0) return kExitDone;
   return ReportUsage(
-      "that version is not among those asked for; raise --count");
+      "version not found among the --count versions read; raise --count");
 }
 
 }  // namespace
 
 std::vector<Command> SettingsCommands() {
   return {
-      {"settings", "check", "FILE", "Check a file; print every finding.",
+      {"settings", "check", "FILE", "Check a file and print all findings.",
        AddNoOptions, Check},
       {"settings", "apply", "FILE",
        "Check a file and make it the next version.", AddApplyOptions, Apply},
