--- a/src/cli/starvation_tables.cc
+++ b/src/cli/starvation_tables.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Writing out standings of queues and the use of accelerators.
+/// Formats summaries of queues and the use of accelerators.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,8 +18,8 @@
 
 namespace {
 
-// Causes of an age band that the text names; the JSON has them all.
-constexpr std::size_t kMostCauses = 4;
+// Maximum number of causes of an age band in the text; the JSON has them all.
+constexpr std::size_t kMaxCauses = 4;
 
 Json::Value ToJson(const PreemptionCounts& counts) {
   Json::Value json(Json::arrayValue);
@@ -27,10 +27,10 @@
   return json;
 }
 
-Json::Value ToJson(const ResourceAmount& room) {
+Json::Value ToJson(const ResourceAmount& amount) {
   Json::Value json;
-  json["accelerators"] = room.accelerators;
-  json["cores"] = room.cores;
+  json["accelerators"] = amount.accelerators;
+  json["cores"] = amount.cores;
   return json;
 }
 
@@ -48,36 +48,36 @@
   return json;
 }
 
-Json::Value ToJson(const QueueSummary& standing) {
+Json::Value ToJson(const QueueSummary& summary) {
   Json::Value json;
-  json["settled_jobs"] = standing.settled;
-  json["open_jobs"] = standing.open;
-  json["jobs_by_times_displaced"] = ToJson(standing.preemption_counts);
-  json["longest_idle_seconds"] = Seconds(standing.longest_idle);
-  json["longest_idle_job"] = standing.longest_idle_job;
+  json["settled_jobs"] = summary.settled;
+  json["open_jobs"] = summary.open;
+  json["jobs_by_times_displaced"] = ToJson(summary.preemption_counts);
+  json["longest_idle_seconds"] = Seconds(summary.longest_idle);
+  json["longest_idle_job"] = summary.longest_idle_job;
   json["open_by_age"] = Json::Value(Json::arrayValue);
-  for (const AgeBand& band : standing.ages) {
+  for (const AgeBand& band : summary.ages) {
     json["open_by_age"].append(ToJson(band));
   }
   return json;
 }
 
-/// Such as "5 to 10 s".
-std::string NameOfBand(const QueueSummary& standing, std::size_t band) {
-  const double from = Seconds(standing.ages[band].from);
-  if (band + 1 == standing.ages.size()) return fmt::format("over {} s", from);
-  const double to = Seconds(standing.ages[band + 1].from);
+/// Returns the label of an age band, such as "5 to 10 s".
+std::string NameOfBand(const QueueSummary& summary, std::size_t band) {
+  const double from = Seconds(summary.ages[band].from);
+  if (band + 1 == summary.ages.size()) return fmt::format("over {} s", from);
+  const double to = Seconds(summary.ages[band + 1].from);
   return fmt::format("{} to {} s", from, to);
 }
 
-/// The longest first.
+/// Returns the causes with the longest times, in descending order.
 std::vector<std::pair<std::string, Duration>> MainCauses(const AgeBand& band) {
   std::vector<std::pair<std::string, Duration>> causes(band.causes.begin(),
                                                        band.causes.end());
   std::stable_sort(
       causes.begin(), causes.end(),
       [](const auto& a, const auto& b) { return a.second > b.second; });
-  if (causes.size() > kMostCauses) causes.resize(kMostCauses);
+  if (causes.size() > kMaxCauses) causes.resize(kMaxCauses);
   return causes;
 }
 
@@ -92,14 +92,14 @@
   }
 }
 
-void PrintOpenJobs(const std::string& queue, const QueueSummary& standing) {
-  if (standing.open == 0) return;
+void PrintOpenJobs(const std::string& queue, const QueueSummary& summary) {
+  if (summary.open == 0) return;
   fmt::print("\nOpen jobs of queue {}, by age\n", queue);
   fmt::print("  {:<10} {:>5} {:>6}  {:>5} {:>4} {:>5} {:>8}  {}\n", "AGE",
              "JOBS", "TASKS", "NEVER", "ONCE", "TWICE", "3 TIMES+", "WORST");
-  for (std::size_t band = 0; band < standing.ages.size(); ++band) {
-    if (standing.ages[band].jobs == 0) continue;
-    PrintBand(NameOfBand(standing, band), standing.ages[band]);
+  for (std::size_t band = 0; band < summary.ages.size(); ++band) {
+    if (summary.ages[band].jobs == 0) continue;
+    PrintBand(NameOfBand(summary, band), summary.ages[band]);
   }
 }
 
@@ -108,13 +108,12 @@
   fmt::print("  {:>7} {:>5}  {:>5} {:>4} {:>5} {:>8}  {:>9}  {:<20} {}\n",
              "SETTLED", "OPEN", "NEVER", "ONCE", "TWICE", "3 TIMES+",
              "NO RUN S", "OF JOB", "QUEUE");
-  for (const auto& [queue, standing] : queue_summaries) {
-    const PreemptionCounts& preemption_counts = standing.preemption_counts;
+  for (const auto& [queue, summary] : queue_summaries) {
+    const PreemptionCounts& preemption_counts = summary.preemption_counts;
     fmt::print("  {:>7} {:>5}  {:>5} {:>4} {:>5} {:>8}  {:>9.1f}  {:<20} {}\n",
-               standing.settled, standing.open, preemption_counts[0],
+               summary.settled, summary.open, preemption_counts[0],
                preemption_counts[1], preemption_counts[2], preemption_counts[3],
-               Seconds(standing.longest_idle), standing.longest_idle_job,
-               queue);
+               Seconds(summary.longest_idle), summary.longest_idle_job, queue);
   }
 }
 
@@ -150,8 +149,8 @@
 
 Json::Value ToJson(const std::map<std::string, QueueSummary>& queue_summaries) {
   Json::Value json(Json::objectValue);
-  for (const auto& [queue, standing] : queue_summaries) {
-    json[queue] = ToJson(standing);
+  for (const auto& [queue, summary] : queue_summaries) {
+    json[queue] = ToJson(summary);
   }
   return json;
 }
@@ -178,8 +177,8 @@
     const std::map<std::string, QueueSummary>& queue_summaries) {
   if (queue_summaries.empty()) return;
   PrintQueues(queue_summaries);
-  for (const auto& [queue, standing] : queue_summaries) {
-    PrintOpenJobs(queue, standing);
+  for (const auto& [queue, summary] : queue_summaries) {
+    PrintOpenJobs(queue, summary);
   }
 }
 
--- a/src/cli/starvation_tables.h
+++ b/src/cli/starvation_tables.h
@@ -1,5 +1,5 @@
 /// @file
-/// The report's tables on which jobs starve, and what ran meanwhile.
+/// Tables of the report that show starving jobs and the use of accelerators.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,18 +17,19 @@
 
 namespace limeledge {
 
-/// By queue. Safe from any thread.
+/// Returns the summaries as a JSON object by queue. Safe from any thread.
 Json::Value ToJson(const std::map<std::string, QueueSummary>& queue_summaries);
 
-/// In order of time. Safe from any thread.
+/// Returns the slots as a JSON array in order of time. Safe from any thread.
 Json::Value ToJson(const std::vector<UseSlot>& use);
 
-/// Prints how each queue stands, and its open jobs by age. Not to be called
-/// while others print.
+/// Prints the summary of each queue, and its open jobs by age. Not thread-safe:
+/// writes to standard output.
 void PrintQueueSummaries(
     const std::map<std::string, QueueSummary>& queue_summaries);
 
-/// Prints the use of accelerators by slot. Not to be called while others print.
+/// Prints the use of accelerators by slot. Not thread-safe: writes to standard
+/// output.
 void PrintUse(const std::vector<UseSlot>& use);
 
 }  // namespace limeledge
--- a/src/cli/text_diff.cc
+++ b/src/cli/text_diff.cc
@@ -17,7 +17,8 @@
                                 const std::string& after) {
   const std::vector<std::string> a = absl::StrSplit(before, '\n');
   const std::vector<std::string> b = absl::StrSplit(after, '\n');
-  // common[i][j] is the length for the tails that begin at i and j.
+  // common[i][j] is the length of the longest common subsequence of the
+  // suffixes that begin at i and j.
   std::vector<std::vector<std::size_t>> common(
       a.size() + 1, std::vector<std::size_t>(b.size() + 1, 0));
   for (std::size_t i = a.size(); i-- > 0;) {
--- a/src/cli/text_diff.h
+++ b/src/cli/text_diff.h
@@ -1,5 +1,5 @@
 /// @file
-/// Line differences between two texts.
+/// Line-based differences between two texts.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,8 +19,8 @@
   std::string text;
 };
 
-/// Returns the lines of both texts in order, by their longest common
-/// subsequence. Safe from any thread.
+/// Returns the lines of both texts in order. The lines of their longest common
+/// subsequence are `kSame`. Safe from any thread.
 std::vector<DiffLine> DiffLines(const std::string& before,
                                 const std::string& after);
 
