--- a/src/cli/work_report.cc
+++ b/src/cli/work_report.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Summing up jobs, runs and seconds.
+/// Computes the totals over jobs, runs and seconds.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,8 +14,8 @@
 
 constexpr std::int64_t kMillisPerSecond = 1000;
 
-/// The parts of one job that are for the same cause, as one.
-std::map<std::string, Duration> ByCause(const std::vector<Delay>& delays) {
+/// Sums the delays of one job by cause.
+std::map<std::string, Duration> SumByCause(const std::vector<Delay>& delays) {
   std::map<std::string, Duration> causes;
   for (const Delay& delay : delays) {
     Duration& length = causes[delay.cause];
@@ -36,15 +36,15 @@
   }
 }
 
-/// Jobs that were handed in within one second.
-struct SecondDraft {
+/// Totals of one second while jobs are being added.
+struct SecondAccumulator {
   SecondTotal total;
   std::map<std::string, Duration> causes;
 };
 
 void AddJob(const JobHistory& job,
             const std::map<std::string, Duration>& causes,
-            SecondDraft* second) {
+            SecondAccumulator* second) {
   ++second->total.jobs;
   Duration lost;
   for (const auto& [cause, length] : causes) {
@@ -64,19 +64,20 @@
   return main == causes.end() ? "" : main->first;
 }
 
-std::vector<SecondTotal> WorstOf(
-    const std::map<std::int64_t, SecondDraft>& seconds, std::size_t most) {
+std::vector<SecondTotal> WorstSeconds(
+    const std::map<std::int64_t, SecondAccumulator>& seconds,
+    std::size_t max_seconds) {
   std::vector<SecondTotal> worst;
-  for (const auto& [second, draft] : seconds) {
-    worst.push_back(draft.total);
+  for (const auto& [second, accumulator] : seconds) {
+    worst.push_back(accumulator.total);
     worst.back().second = second;
-    worst.back().main_cause = MainCause(draft.causes);
+    worst.back().main_cause = MainCause(accumulator.causes);
   }
   std::stable_sort(worst.begin(), worst.end(),
                    [](const SecondTotal& a, const SecondTotal& b) {
                      return a.lost > b.lost;
                    });
-  if (worst.size() > most) worst.resize(most);
+  if (worst.size() > max_seconds) worst.resize(max_seconds);
   return worst;
 }
 
@@ -106,8 +107,8 @@
   total.top_jobs.Add(AcceleratorSeconds(run), job.id);
 }
 
-/// The first start of the job at or after a moment; null if there is none.
-/// `runner`: only there, or anywhere if empty.
+/// Returns the job's first run that starts at or after `from_ms`; null if there
+/// is none. `runner`: the runner of the run; any runner if empty.
 const LoggedRun* FirstStartFrom(const JobHistory& job, std::int64_t from_ms,
                                 const std::string& runner) {
   const LoggedRun* first = nullptr;
@@ -121,24 +122,25 @@
   return first;
 }
 
-/// All runs that made way, by the job that they made way for.
-std::map<std::string, std::vector<const LoggedRun*>> DisplacedRuns(
+/// Returns all runs that were preempted, by the job that they were preempted
+/// for.
+std::map<std::string, std::vector<const LoggedRun*>> PreemptedRuns(
     const Histories& histories) {
-  std::map<std::string, std::vector<const LoggedRun*>> displaced;
+  std::map<std::string, std::vector<const LoggedRun*>> preempted_runs;
   for (const auto& [id, job] : histories.jobs) {
     for (const auto& [key, runs] : job.tasks) {
       for (const LoggedRun& run : runs) {
-        const bool made_way =
+        const bool preempted =
             run.fate == RunFate::kPreempted && run.ended_ms != 0;
-        if (made_way) displaced[run.preempted_for].push_back(&run);
+        if (preempted) preempted_runs[run.preempted_for].push_back(&run);
       }
     }
   }
-  return displaced;
+  return preempted_runs;
 }
 
-void AddDisplacing(const Histories& histories, WorkReport* report) {
-  for (const auto& [id, runs] : DisplacedRuns(histories)) {
+void AddPreemptions(const Histories& histories, WorkReport* report) {
+  for (const auto& [id, runs] : PreemptedRuns(histories)) {
     const auto found = histories.jobs.find(id);
     if (found == histories.jobs.end()) continue;
     const JobHistory& job = found->second;
@@ -163,32 +165,33 @@
 }  // namespace
 
 WorkReport MakeWorkReport(const std::vector<LogEntry>& entries,
-                          std::size_t most_seconds, Duration slot) {
+                          std::size_t max_seconds, Duration slot) {
   WorkReport report;
   if (entries.empty()) return report;
   report.begin_ms = entries.front().wall_ms;
   const Histories histories = ReadHistories(entries);
-  std::map<std::int64_t, SecondDraft> seconds;
+  std::map<std::int64_t, SecondAccumulator> seconds;
   for (const auto& [id, job] : histories.jobs) {
     for (const auto& [key, runs] : job.tasks) {
       for (const LoggedRun& run : runs) AddWaste(job, run, &report);
     }
     const bool open = job.accepted_ms != 0 && job.settled_ms == 0;
     if (open) report.open_jobs.push_back(id);
-    // A cancelled job's time is its caller's.
+    // The caller decided how long a cancelled job lasted, so its time is not
+    // attributed to causes.
     if (job.state == kStateCancelled) continue;
     const std::vector<Delay> delays = DelaysOf(job, histories.leadership_terms);
     if (delays.empty()) continue;
     ++report.settled_jobs;
-    const std::map<std::string, Duration> causes = ByCause(delays);
+    const std::map<std::string, Duration> causes = SumByCause(delays);
     AddJob(job, causes, &report.queues[GroupName(job.queue)]);
     AddJob(job, causes, &report.workspaces[GroupName(job.workspace)]);
     const std::int64_t second =
         (job.first_submit_ms - report.begin_ms) / kMillisPerSecond;
     AddJob(job, causes, &seconds[second]);
   }
-  AddDisplacing(histories, &report);
-  report.worst_seconds = WorstOf(seconds, most_seconds);
+  AddPreemptions(histories, &report);
+  report.worst_seconds = WorstSeconds(seconds, max_seconds);
   report.queue_summaries = SummarizeQueues(histories, entries.back().wall_ms);
   report.use = MakeAcceleratorUse(entries, histories, slot);
   return report;
--- a/src/cli/work_report.h
+++ b/src/cli/work_report.h
@@ -1,5 +1,6 @@
 /// @file
-/// Where time and work went, by cause, as the logs of all processes tell it.
+/// Report of how time and work were spent, by cause, from the logs of all
+/// processes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,23 +21,24 @@
 
 namespace limeledge {
 
+/// Time that jobs spent on one cause.
 struct CauseTotal {
   Duration length;
   int jobs = 0;
   TopJobs top_jobs;
 };
 
-/// Settled jobs of one queue or workspace.
+/// Totals of the settled jobs of one queue or workspace.
 struct GroupTotal {
   int jobs = 0;
   Duration length;
   std::map<std::string, CauseTotal> causes;
 };
 
-/// Runs that did not end as done, of one fate.
+/// Totals of runs that ended with one fate other than done.
 struct WasteTotal {
   int runs = 0;
-  /// Of them, those that left a checkpoint: not in the sums below.
+  /// Runs among them that left a checkpoint; not in the sums below.
   int saved = 0;
   double accelerator_seconds = 0;
   double core_seconds = 0;
@@ -44,48 +46,50 @@
   TopJobs top_jobs;
 };
 
-/// Runs that made way for urgent jobs of one queue.
+/// Totals of runs that were preempted for urgent jobs of one queue.
 struct PreemptionTotal {
   int jobs = 0;
   int runs = 0;
   double accelerator_seconds = 0;
-  /// Runs whose runner was then taken by the job that they made way for.
+  /// Preempted runs on whose runner the urgent job then started a run.
   int used_runs = 0;
-  /// From the first stop for a job to the next of its starts, summed.
+  /// Sum over the urgent jobs of the time from the end of the first run that
+  /// was preempted for the job to the next start of the job.
   Duration wait;
   int waits = 0;
 };
 
-/// A second, by the time at which jobs were handed in.
+/// Totals of the jobs that were submitted within one second.
 struct SecondTotal {
   std::int64_t second = 0;
   int jobs = 0;
-  /// Time of these jobs beyond their work.
+  /// Time of these jobs spent on causes other than work.
   Duration lost;
   std::string main_cause;
   TopJobs top_jobs;
 };
 
+/// Totals over all jobs in the logs.
 struct WorkReport {
   std::int64_t begin_ms = 0;
   int settled_jobs = 0;
-  /// Accepted, and no line tells their end.
+  /// Accepted jobs whose end is not in the logs.
   std::vector<std::string> open_jobs;
   std::map<std::string, GroupTotal> queues;
   std::map<std::string, GroupTotal> workspaces;
   std::map<RunFate, WasteTotal> waste;
   std::map<std::string, PreemptionTotal> preemptions;
-  /// The worst first.
+  /// In descending order of lost time.
   std::vector<SecondTotal> worst_seconds;
   std::map<std::string, QueueSummary> queue_summaries;
   std::vector<UseSlot> use;
 };
 
-/// Sums everything up. `entries`: in order of time; `most_seconds`: how many of
-/// the worst seconds to name; `slot`: for the use over time, above zero. Safe
-/// from any thread.
+/// Builds the report. `entries`: in order of time; `max_seconds`: maximum
+/// number of worst seconds to include; `slot`: length of a time slot of the
+/// accelerator use, above zero. Safe from any thread.
 WorkReport MakeWorkReport(const std::vector<LogEntry>& entries,
-                          std::size_t most_seconds,
+                          std::size_t max_seconds,
                           Duration slot = kDefaultSlot);
 
 }  // namespace limeledge
--- a/test/log-lines-fixture.h
+++ b/test/log-lines-fixture.h
@@ -1,5 +1,6 @@
 /// @file
-/// Log lines of jobs and their runs, for tests of what reads them.
+/// Builds log lines of jobs and their runs for tests of the code that reads
+/// logs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,9 +19,9 @@
 
 namespace limeledge {
 
-/// Lines in the order in which a test adds them. One process schedules from 0
-/// ms on; a job is handed in at 1000 ms. Every run holds four accelerators and
-/// eight cores, and is expected to take 2000 ms.
+/// Lines in the order in which a test adds them. One process is the scheduler
+/// from 0 ms on; a job is submitted at 1000 ms. Every run holds four
+/// accelerators and eight cores, and is expected to take 2000 ms.
 struct LogLinesFixture : public Utest {
   using Fields = std::map<std::string, std::string>;
 
@@ -88,7 +89,7 @@
         {{"step", step}, {"tasks", std::to_string(tasks)}, {"reason", reason}});
   }
 
-  /// The last line, which tells nothing of jobs.
+  /// Adds the last line, which concerns no job.
   void EndLogs(std::int64_t ms) {
     Line(ms, "runner_heard", {{"runner", "i-9"}});
   }
--- a/test/work-report-test.cc
+++ b/test/work-report-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of telling from logs where time and work went.
+/// Tests of the report of how time and work were spent.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,10 +13,10 @@
 
 namespace limeledge {
 
-// An urgent job and another one.
+// Log lines of the job "aa", evaluated by cause and by fate.
 class WorkReportFixture : public LogLinesFixture {
  public:
-  /// The job's time for a cause, in milliseconds.
+  /// Returns the job's time for a cause, in milliseconds.
   std::int64_t DelayOf(const std::string& cause) {
     const Histories histories = ReadHistories(lines);
     std::int64_t sum = 0;
@@ -46,7 +46,7 @@
 
 TEST_GROUP_BASE(WorkReport, WorkReportFixture){};
 
-TEST(WorkReport, RunLongerThanExpectedIsPartedIntoWorkAndTheRest) {
+TEST(WorkReport, RunLongerThanExpectedIsSplitAtItsExpectedLength) {
   Assign(1100, "aa.0.0.0", 1);
   End(3600, "aa.0.0.0", 1, "done");
   Settle(3610, "aa");
@@ -56,7 +56,7 @@
   LONGS_EQUAL(10, DelayOf(kCauseSettling));
 }
 
-TEST(WorkReport, RunFarFromItsDataIsPartedIntoWorkAndTheRest) {
+TEST(WorkReport, RunFarFromItsDataIsSplitAtTheLengthNearIt) {
   Line(1000, "run_assigned",
        {{"task", "aa.0.0.0"},
         {"run", "1"},
@@ -69,7 +69,7 @@
   LONGS_EQUAL(1800, DelayOf(kCauseFarRun));
 }
 
-TEST(WorkReport, PartsOfAJobsTimeAddUpToTheWhole) {
+TEST(WorkReport, DelaysOfAJobAddUpToItsTime) {
   Line(1200, "step_waits", {{"step", "aa.0.0"}, {"reason", "no room"}});
   Assign(2000, "aa.0.0.0", 1);
   End(2500, "aa.0.0.0", 1, "failed");
@@ -79,7 +79,7 @@
   LONGS_EQUAL(3700, SumOfDelays());
 }
 
-TEST(WorkReport, WaitIsToldByItsReasonFromTheLineOn) {
+TEST(WorkReport, WaitHasTheReasonOfTheLatestLine) {
   Line(1200, "step_waits", {{"step", "aa.0.0"}, {"reason", "no room"}});
   Line(1500, "step_waits", {{"step", "aa.0.0"}, {"reason", "others make way"}});
   Assign(2000, "aa.0.0.0", 1);
@@ -90,7 +90,7 @@
   LONGS_EQUAL(500, DelayOf("waits: others make way"));
 }
 
-TEST(WorkReport, TimeWithoutASchedulerIsToldFromItsLastLineOn) {
+TEST(WorkReport, TimeWithoutASchedulerBeginsAtItsLastLine) {
   Line(1400, "runner_heard", {{"runner", "i-1"}});
   Line(3000, "leader_claimed", {{"epoch", "2"}}, "e2");
   Assign(3100, "aa.0.0.0", 1);
@@ -101,7 +101,7 @@
   LONGS_EQUAL(500, DelayOf(kCauseDeciding));
 }
 
-TEST(WorkReport, RestartOfTheSchedulersProcessEndsItsReign) {
+TEST(WorkReport, RestartOfTheSchedulersProcessEndsItsTerm) {
   Line(2500, "started", {});
   Line(3000, "leader_claimed", {{"epoch", "2"}});
   Assign(3000, "aa.0.0.0", 1);
@@ -110,7 +110,7 @@
   LONGS_EQUAL(2000, DelayOf(kCauseNoScheduler));
 }
 
-TEST(WorkReport, LostRunIsToldByItsCause) {
+TEST(WorkReport, LostRunHasItsFateAsCause) {
   Assign(1000, "aa.0.0.0", 1);
   Line(1800, "run_displaced",
        {{"task", "aa.0.0.0"}, {"runner", "i-1"}, {"for", "bb"}});
@@ -131,7 +131,7 @@
   LONGS_EQUAL(100, DelayOf(kCauseDeciding));
 }
 
-TEST(WorkReport, RefusedSubmitsCountUntilOneIsTaken) {
+TEST(WorkReport, RefusedSubmitsCountUntilOneIsAccepted) {
   lines.clear();
   Line(0, "leader_claimed", {{"epoch", "1"}});
   Line(100, "call_answered",
@@ -143,7 +143,7 @@
   LONGS_EQUAL(1000, DelayOf(kCauseNotAccepted));
 }
 
-TEST(WorkReport, WorkOfARunThatLeftACheckpointIsNotThrownAway) {
+TEST(WorkReport, WorkOfARunThatLeftACheckpointIsNotWasted) {
   Assign(1000, "aa.0.0.0", 1);
   End(2000, "aa.0.0.0", 1, "failed");
   Assign(2000, "aa.0.0.0", 2);
@@ -164,21 +164,21 @@
   LONGS_EQUAL(0, WasteOf(RunFate::kStopped).runs);
 }
 
-TEST(WorkReport, RunOfACancelledJobIsNotTheGangsOrAnybodysFault) {
+TEST(WorkReport, RunOfACancelledJobHasTheFateCancelled) {
   Assign(1000, "aa.0.0.0", 1);
   Settle(1500, "aa", "cancelled");
   End(1700, "aa.0.0.0", 1, "stopped");
   LONGS_EQUAL(1, WasteOf(RunFate::kCancelled).runs);
 }
 
-TEST(WorkReport, RunThatANewSchedulerDidNotFindIsLostAtTheTakeOver) {
+TEST(WorkReport, RunThatANewSchedulerDidNotFindIsLostInFailover) {
   Assign(1000, "aa.0.0.0", 1);
   Line(3000, "leader_claimed", {{"epoch", "2"}}, "e2");
   End(3100, "aa.0.0.0", 1, "lapsed");
   LONGS_EQUAL(1, WasteOf(RunFate::kLostInFailover).runs);
 }
 
-TEST(WorkReport, RoomThatWasMadeIsUsedIfTheJobStartsOnThatRunner) {
+TEST(WorkReport, PreemptedCapacityIsUsedIfTheJobStartsOnThatRunner) {
   Submit(1500, "bb", "check", "roads");
   Assign(1000, "aa.0.0.0", 1, "i-1");
   Line(1600, "run_displaced",
@@ -197,7 +197,7 @@
   LONGS_EQUAL(100, check.wait.ms());
 }
 
-TEST(WorkReport, JobsAreSummedUpByQueueAndWorkspaceAndTheirSecond) {
+TEST(WorkReport, JobsAreTotalledByQueueWorkspaceAndSecond) {
   Assign(1400, "aa.0.0.0", 1);
   End(3400, "aa.0.0.0", 1, "done");
   Settle(3400, "aa");
