--- a/src/cli/work_report.h
+++ b/src/cli/work_report.h
@@ -35,7 +35,7 @@
   std::map<std::string, CauseTotal> causes;
 };
 
-/// Totals of runs that ended with one fate other than done.
+/// Totals of runs that ended with one fate other than done or rejected.
 struct WasteTotal {
   int runs = 0;
   /// Runs among them that left a checkpoint; not in the sums below.
