--- a/src/cli/delays.cc
+++ b/src/cli/delays.cc
@@ -58,9 +58,9 @@
   void WalkRuns(const TaskKey& key, const std::vector<LoggedRun>& runs);
   /// Attributes the time from `from_ms` to `at_ms_` to a cause, and moves
   /// `at_ms_` back.
-  void AttributeBackTo(std::int64_t from_ms, const std::string& cause);
+  void Attribute(std::int64_t from_ms, const std::string& cause);
   /// The same for time in which the step waited, split by wait reason.
-  void AttributeWaitBackTo(std::int64_t from_ms, const TaskKey& key);
+  void AttributeWait(std::int64_t from_ms, const TaskKey& key);
   bool HasScheduler(std::int64_t at_ms) const;
   std::string WaitReasonAt(std::int64_t at_ms, const TaskKey& key) const;
 
@@ -70,8 +70,7 @@
   std::vector<Delay> delays_;
 };
 
-void DelayWalk::AttributeBackTo(std::int64_t from_ms,
-                                const std::string& cause) {
+void DelayWalk::Attribute(std::int64_t from_ms, const std::string& cause) {
   if (from_ms >= at_ms_) return;
   delays_.push_back({cause, Duration(at_ms_ - from_ms)});
   at_ms_ = from_ms;
@@ -95,7 +94,7 @@
   return reason;
 }
 
-void DelayWalk::AttributeWaitBackTo(std::int64_t from_ms, const TaskKey& key) {
+void DelayWalk::AttributeWait(std::int64_t from_ms, const TaskKey& key) {
   // The times at which the cause may change.
   std::set<std::int64_t> edges = {from_ms};
   const auto add = [this, from_ms, &edges](std::int64_t at_ms) {
@@ -110,8 +109,8 @@
     for (const LoggedWait& wait : waits->second) add(wait.from_ms);
   }
   for (auto edge = edges.rbegin(); edge != edges.rend(); ++edge) {
-    AttributeBackTo(*edge, HasScheduler(*edge) ? WaitReasonAt(*edge, key)
-                                               : kCauseNoScheduler);
+    Attribute(*edge, HasScheduler(*edge) ? WaitReasonAt(*edge, key)
+                                         : kCauseNoScheduler);
   }
 }
 
@@ -134,20 +133,19 @@
 void DelayWalk::WalkRun(const LoggedRun& run) {
   const bool lost = run.fate != RunFate::kDone && run.fate != RunFate::kOngoing;
   if (lost) {
-    AttributeBackTo(run.begun_ms,
-                    absl::StrCat("lost run: ", ToString(run.fate)));
+    Attribute(run.begun_ms, absl::StrCat("lost run: ", ToString(run.fate)));
     return;
   }
-  AttributeBackTo(run.begun_ms + run.expected.ms(), kCauseLongRun);
-  AttributeBackTo(run.begun_ms + run.expected_near.ms(), kCauseFarRun);
-  AttributeBackTo(run.begun_ms, kCauseWork);
+  Attribute(run.begun_ms + run.expected.ms(), kCauseLongRun);
+  Attribute(run.begun_ms + run.expected_near.ms(), kCauseFarRun);
+  Attribute(run.begun_ms, kCauseWork);
 }
 
 void DelayWalk::WalkRuns(const TaskKey& key,
                          const std::vector<LoggedRun>& runs) {
   for (auto run = runs.rbegin(); run != runs.rend(); ++run) {
     if (run->ended_ms == 0) continue;
-    AttributeWaitBackTo(run->ended_ms, key);
+    AttributeWait(run->ended_ms, key);
     WalkRun(*run);
   }
 }
@@ -159,8 +157,7 @@
 
 std::vector<Delay> DelayWalk::WalkFromLastDone() {
   const LoggedTask* task = LastDone(nullptr);
-  if (task != nullptr)
-    AttributeBackTo(task->second.back().ended_ms, kCauseSettling);
+  if (task != nullptr) Attribute(task->second.back().ended_ms, kCauseSettling);
   return FollowSteps(task, TaskKey());
 }
 
@@ -170,8 +167,8 @@
     WalkRuns(key, task->second);
     task = LastDone(&key);
   }
-  AttributeWaitBackTo(job_.accepted_ms, key);
-  AttributeBackTo(job_.first_submit_ms, kCauseNotAccepted);
+  AttributeWait(job_.accepted_ms, key);
+  Attribute(job_.first_submit_ms, kCauseNotAccepted);
   return std::move(delays_);
 }
 
@@ -210,7 +207,7 @@
   }
   const LoggedTask* before = LastDone(&*delayed);
   if (before != nullptr) {
-    AttributeWaitBackTo(before->second.back().ended_ms, *delayed);
+    AttributeWait(before->second.back().ended_ms, *delayed);
   }
   return FollowSteps(before, *delayed);
 }
--- a/src/cli/job_history.cc
+++ b/src/cli/job_history.cc
@@ -77,7 +77,7 @@
 
   Histories histories_;
   /// Start of the current leadership term, by instance.
-  std::map<std::string, std::int64_t> open_terms_;
+  std::map<std::string, std::int64_t> terms_;
   /// Time of the newest line, by instance.
   std::map<std::string, std::int64_t> last_line_ms_;
 };
@@ -186,10 +186,10 @@
 
 void HistoryReader::EndLeadershipTerm(const std::string& instance,
                                       std::int64_t at_ms) {
-  const auto found = open_terms_.find(instance);
-  if (found == open_terms_.end()) return;
+  const auto found = terms_.find(instance);
+  if (found == terms_.end()) return;
   histories_.leadership_terms.push_back({instance, found->second, at_ms});
-  open_terms_.erase(found);
+  terms_.erase(found);
 }
 
 void HistoryReader::AddLeadership(const LogEntry& entry) {
@@ -199,13 +199,12 @@
   }
   // A previous scheduler that logged no end of its term counts as the scheduler
   // until its last line.
-  const std::map<std::string, std::int64_t> before = open_terms_;
+  const std::map<std::string, std::int64_t> before = terms_;
   for (const auto& [instance, from_ms] : before) {
     if (entry.event == "started" && instance != entry.instance) continue;
     EndLeadershipTerm(instance, std::max(from_ms, last_line_ms_[instance]));
   }
-  if (entry.event == "leader_claimed")
-    open_terms_[entry.instance] = entry.wall_ms;
+  if (entry.event == "leader_claimed") terms_[entry.instance] = entry.wall_ms;
 }
 
 void HistoryReader::Add(const LogEntry& entry) {
@@ -250,9 +249,8 @@
   for (const auto& [key, runs] : job->tasks) {
     for (const LoggedRun& run : runs) {
       if (!has_known_fate(run) || run.ended_ms == 0) continue;
-      const LoggedRun*& earliest = first[group_of(key, run)];
-      if (earliest == nullptr || run.ended_ms < earliest->ended_ms)
-        earliest = &run;
+      const LoggedRun*& member = first[group_of(key, run)];
+      if (member == nullptr || run.ended_ms < member->ended_ms) member = &run;
     }
   }
   for (auto& [key, runs] : job->tasks) {
@@ -274,7 +272,7 @@
 }
 
 Histories HistoryReader::Finish() {
-  const std::map<std::string, std::int64_t> open = open_terms_;
+  const std::map<std::string, std::int64_t> open = terms_;
   for (const auto& [instance, from_ms] : open) {
     EndLeadershipTerm(instance, std::max(from_ms, last_line_ms_[instance]));
   }
--- a/src/cli/merged_log.cc
+++ b/src/cli/merged_log.cc
@@ -299,9 +299,8 @@
 }
 
 std::string Describe(const LogEntry& entry) {
-  for (const EventTemplate& event_template : kEventTemplates) {
-    if (entry.event == event_template.event)
-      return ExpandTemplate(event_template.text, entry);
+  for (const EventTemplate& format : kEventTemplates) {
+    if (entry.event == format.event) return ExpandTemplate(format.text, entry);
   }
   return ListFields(entry);
 }
