--- a/test/log-story-test.cc
+++ b/test/log-story-test.cc
@@ -13,7 +13,7 @@
 namespace limeledge {
 
 // Logs of two processes: one accepted the job, the other scheduled it.
-TEST_GROUP(MergedLog) {
+TEST_GROUP(LogStory) {
   const std::string job = "00000000000000a1";
   const std::string front_end_log =
       "{\"wall_ms\":1000,\"level\":\"info\",\"id\":\"LL900\",\"event\":\"call_"
@@ -41,44 +41,44 @@
   }
 };
 
-TEST(MergedLog, LinesOfSeveralLogsAreInOrderOfTime) {
+TEST(LogStory, LinesOfSeveralLogsAreInOrderOfTime) {
   const std::vector<LogEntry> lines = log.LinesOf(job);
   LONGS_EQUAL(4, lines.size());
   STRCMP_EQUAL("call_answered", lines[0].event.c_str());
   STRCMP_EQUAL("job_settled", lines[3].event.c_str());
 }
 
-TEST(MergedLog, LinesAroundIncludeOnlyRunnersOfTheJob) {
+TEST(LogStory, LinesAroundIncludeOnlyRunnersOfTheJob) {
   const std::vector<LogEntry> lines = log.LinesAround(job);
   LONGS_EQUAL(5, lines.size());
   STRCMP_EQUAL("i-1", lines[2].Field("runner").c_str());
 }
 
-TEST(MergedLog, UnknownJobHasNoLines) {
+TEST(LogStory, UnknownJobHasNoLines) {
   CHECK_TRUE(log.LinesOf("00000000000000a2").empty());
   CHECK_TRUE(log.LinesAround("00000000000000a2").empty());
 }
 
-TEST(MergedLog, LineIsDescribedByItsTemplate) {
+TEST(LogStory, LineIsDescribedByItsTemplate) {
   STRCMP_EQUAL("run 1 of 00000000000000a1.0.0.0 on runner i-1 ended: lapsed",
                Describe(log.LinesOf(job)[2]).c_str());
 }
 
-TEST(MergedLog, EventWithoutATemplateIsListedWithItsFields) {
+TEST(LogStory, EventWithoutATemplateIsListedWithItsFields) {
   LogEntry entry;
   entry.event = "new_event";
   entry.fields["a"] = "b";
   STRCMP_EQUAL("new_event a=b", Describe(entry).c_str());
 }
 
-TEST(MergedLog, SummaryHasStateWaitAndEnds) {
+TEST(LogStory, SummaryHasStateWaitAndEnds) {
   STRCMP_EQUAL(
       "The job is done; it waited 100 ms for its first run and took 400 ms in "
       "all; 1 runs lapsed.",
       Summarize(log.LinesOf(job)).c_str());
 }
 
-TEST(MergedLog, SummaryHasTheRunsOfATaskThatWasGivenUp) {
+TEST(LogStory, SummaryHasTheRunsOfATaskThatWasGivenUp) {
   log.Add(
       "{\"wall_ms\":1350,\"level\":\"warning\",\"id\":\"LL935\",\"event\":"
       "\"task_given_up\",\"instance\":\"e2\",\"job\":\"00000000000000a1\","
@@ -89,7 +89,7 @@
   CHECK_TRUE(text.find("1@i-1 2@i-2") != std::string::npos);
 }
 
-TEST(MergedLog, LinesThatAreNotLogLinesAreSkippedAndCounted) {
+TEST(LogStory, LinesThatAreNotLogLinesAreSkippedAndCounted) {
   MergedLog other;
   LONGS_EQUAL(2, other.Add("hello\n{\"a\":1}\n  1.5 e1 " + front_end_log));
   LONGS_EQUAL(1, other.LinesOf(job).size());
