--- a/include/limeledge/base.h
+++ b/include/limeledge/base.h
@@ -1,5 +1,5 @@
 /// @file
-/// Strong types for identifiers and units that the rest of limeledge builds on.
+/// Strong types for identifiers and version numbers.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,7 +16,8 @@
 
 namespace limeledge {
 
-/// A text identifier that does not mix with identifiers of another `Tag`.
+/// A text identifier. Identifiers with different `Tag` types are distinct types
+/// and cannot be compared or assigned to each other.
 ///
 ///     WorkerId id("w-17");
 ///     fmt::print("{}", id.value());
@@ -43,7 +44,8 @@
   std::string value_;
 };
 
-/// A whole number that does not mix with numbers of another `Tag`.
+/// An integer. Numbers with different `Tag` types are distinct types and cannot
+/// be compared or assigned to each other.
 ///
 ///     Epoch next = current.Next();
 ///
@@ -84,16 +86,19 @@
 using RequestId = Id<struct RequestIdTag>;
 using AttemptId = Id<struct AttemptIdTag>;
 
-/// Counts the planners a hall has had; a larger epoch fences a smaller one.
+/// Fencing token of a hall's planner. Each new planner gets a larger epoch, and
+/// writes with a smaller epoch are rejected.
 using Epoch = Number<struct EpochTag>;
-/// Version of the settings tree; accepted versions only rise.
+/// Version of the settings tree; each accepted version is greater than the
+/// previous one.
 using SettingsVersion = Number<struct SettingsVersionTag>;
-/// Position of a commit in the table service; also the version of a row.
+/// Position of a commit in the table service's commit order. A row's version is
+/// the revision of the commit that last wrote it.
 using Revision = Number<struct RevisionTag>;
-/// Names one waiting caller inside one process.
+/// Identifies a pending call within one process.
 using CallId = Number<struct CallIdTag>;
 
-/// Hashes strong types; pass it to an unordered container.
+/// Hash function for `Id` and `Number`, for use with unordered containers.
 struct IdHash {
   template <typename Tag>
   std::size_t operator()(const Id<Tag>& id) const {
--- a/include/limeledge/claims.h
+++ b/include/limeledge/claims.h
@@ -1,5 +1,5 @@
 /// @file
-/// Claims that let a request marked as not repeatable run at most once.
+/// Claim rows that give non-repeatable requests at-most-once execution.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,50 +15,57 @@
 namespace limeledge {
 
 enum class ClaimState {
-  /// Somebody may have sent the request; its answer is not recorded yet.
+  /// The holder may have sent the request; no answer is recorded.
   kClaimed,
-  /// The whole answer is recorded.
+  /// The complete answer is recorded.
   kAnswered,
 };
 
-/// The row that a not-repeatable request is claimed with before it is sent.
+/// The row that an instance writes before it sends a non-repeatable request.
 struct Claim {
   ClaimState state = ClaimState::kClaimed;
   InstanceId holder;
-  /// Incarnation of the holder; a restarted instance is a different holder.
+  /// Incarnation of the holder. A restarted instance has a new incarnation and
+  /// counts as a different holder.
   std::int64_t incarnation = 0;
-  /// Hash of the request's content, to tell a reused id from a repeat.
+  /// Hash of the request's content. It distinguishes a repeated request from
+  /// another request that reuses the id.
   std::string digest;
-  /// The answer, for `kAnswered`.
+  /// The recorded answer; empty unless `state` is `kAnswered`.
   std::string answer;
-  /// Wall-clock milliseconds since 1970, for clearing old rows only.
+  /// Write time in milliseconds since the Unix epoch. It is used only to find
+  /// old rows for deletion.
   std::int64_t written_ms = 0;
 };
 
-/// All claim rows are under it.
+/// Common prefix of the keys of all claim rows.
 inline constexpr char kClaimPrefix[] = "claim/";
 
-/// Returns the row key, "claim/WORKSPACE/REQUEST". Safe from any thread.
+/// Returns the row key "claim/WORKSPACE/REQUEST". Safe from any thread.
 std::string ClaimKey(const WorkspaceId& workspace, const RequestId& request);
 
-/// Row value of a claim. Safe from any thread.
+/// Encodes a claim as a row value. Safe from any thread.
 std::string EncodeClaim(const Claim& claim);
-/// Reads a row value. Fails with `kDataLoss` when it is not a claim.
+/// Decodes a row value. Returns `kDataLoss` if the value is not a valid claim.
+/// Safe from any thread.
 absl::StatusOr<Claim> DecodeClaim(const std::string& value);
 
-/// What an instance does with a request whose claim row already exists.
+/// How an instance handles a request whose claim row already exists.
 enum class ClaimVerdict {
-  /// Give the recorded answer.
+  /// Return the recorded answer.
   kReplay,
-  /// The claimer is alive and at work: read the row again later.
+  /// The holder is alive and may still record an answer: read the row again
+  /// later.
   kWait,
-  /// It may have run and nobody will record an answer.
+  /// The request may have run, but its holder is gone and will not record an
+  /// answer.
   kUnknown,
-  /// The id was used for other content.
+  /// The request id was already used with different content.
   kMismatch,
 };
 
-/// Judges an existing claim. `holder_alive` says whether the claiming
+/// Decides how to handle a request with the content hash `digest` whose claim
+/// row `claim` already exists. `holder_alive` tells whether the holder's
 /// incarnation is a live member. Safe from any thread.
 ClaimVerdict JudgeClaim(const Claim& claim, const std::string& digest,
                         bool holder_alive);
--- a/include/limeledge/clock.h
+++ b/include/limeledge/clock.h
@@ -1,5 +1,5 @@
 /// @file
-/// The one clock type of limeledge: whole milliseconds.
+/// Durations, time points and clocks with millisecond resolution.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -11,7 +11,9 @@
 
 namespace limeledge {
 
-/// A length of time in milliseconds. Thread safety: a plain value.
+/// A signed duration in milliseconds.
+///
+/// Thread safety: a plain value; distinct objects may be used concurrently.
 class Duration {
  public:
   constexpr Duration() = default;
@@ -46,8 +48,10 @@
   std::int64_t ms_ = 0;
 };
 
-/// A moment on one process's steady clock, in milliseconds since an arbitrary
-/// start. Moments of different processes are never compared.
+/// A time point on one process's steady clock, in milliseconds since an
+/// arbitrary origin. Time points of different processes must not be compared.
+///
+/// Thread safety: a plain value; distinct objects may be used concurrently.
 class TimePoint {
  public:
   constexpr TimePoint() = default;
@@ -85,27 +89,28 @@
   std::int64_t ms_ = 0;
 };
 
-/// Source of the present moment.
+/// A source of the current time.
 class Clock {
  public:
   virtual ~Clock() = default;
-  /// Returns the present moment; never goes back. Safe from any thread.
+  /// Returns the current time, which never decreases. Implementations are safe
+  /// to call from any thread unless documented otherwise.
   virtual TimePoint Now() const = 0;
 };
 
-/// The machine's steady clock, which goes on while the process is paused, and
-/// while the machine is suspended. Timers of the system do not: what they wake
-/// is checked by this clock.
+/// The machine's steady clock. It also advances while the process is paused or
+/// the machine is suspended. System timers do not advance during a suspend, so
+/// code that a timer wakes must check the time on this clock.
 class SteadyClock : public Clock {
  public:
   TimePoint Now() const override;
 };
 
-/// A clock that moves only when told to. Not safe for concurrent use.
+/// A manually advanced clock for tests. Not safe for concurrent use.
 class FakeClock : public Clock {
  public:
   TimePoint Now() const override { return now_; }
-  /// Moves the clock on. Precondition: `step` is not negative.
+  /// Advances the clock by `step`. Precondition: `step` is not negative.
   void Advance(Duration step) { now_ = now_ + step; }
 
  private:
--- a/src/claims.cc
+++ b/src/claims.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Encodes and judges claim rows.
+/// Encodes, decodes and evaluates claim rows.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -46,7 +46,7 @@
   const char* begin = value.data();
   if (!reader->parse(begin, begin + value.size(), &json, nullptr) ||
       !json.isObject() || !json["state"].isString()) {
-    return absl::DataLossError("the claim row is not readable");
+    return absl::DataLossError("the row value is not a valid claim");
   }
   Claim claim;
   claim.state = json["state"].asString() == kStateAnswered
--- a/src/clock.cc
+++ b/src/clock.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Reads the steady clock.
+/// Implementation of the steady clock.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,8 +13,8 @@
 TimePoint SteadyClock::Now() const {
   constexpr std::int64_t kMsPerSecond = 1000;
   constexpr std::int64_t kNsPerMs = 1000000;
-  // The monotonic clock stands still while the machine is suspended: a process
-  // would take its leases, and all that it heard, for younger than they are.
+  // CLOCK_MONOTONIC stops while the machine is suspended. A process that used
+  // it would underestimate the age of its leases and of received messages.
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
   return TimePoint(now.tv_sec * kMsPerSecond + now.tv_nsec / kNsPerMs);
--- a/test/base-test.cc
+++ b/test/base-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of strong types.
+/// Tests of the strong identifier and number types.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/test/claims-test.cc
+++ b/test/claims-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of claims.
+/// Tests of encoding and evaluating claim rows.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,7 +14,7 @@
   Claim claim{ClaimState::kClaimed, InstanceId("e1"), 3, "digest", "", 42};
 };
 
-TEST(Claims, CodecKeepsEveryField) {
+TEST(Claims, RoundTripKeepsEveryField) {
   claim.state = ClaimState::kAnswered;
   claim.answer = "whole\n\"answer\"";
   const auto decoded = DecodeClaim(EncodeClaim(claim));
@@ -27,14 +27,14 @@
   LONGS_EQUAL(42, decoded->written_ms);
 }
 
-TEST(Claims, BrokenRowIsDataLoss) {
+TEST(Claims, InvalidRowIsDataLoss) {
   for (const char* text : {"", "{", "[]", "{\"state\":1}"}) {
     CHECK_TRUE(DecodeClaim(text).status().code() ==
                absl::StatusCode::kDataLoss);
   }
 }
 
-TEST(Claims, AnsweredIsReplayedWhoeverLives) {
+TEST(Claims, AnsweredIsReplayedEvenIfTheHolderIsGone) {
   claim.state = ClaimState::kAnswered;
   CHECK_TRUE(JudgeClaim(claim, "digest", false) == ClaimVerdict::kReplay);
 }
@@ -47,7 +47,7 @@
   CHECK_TRUE(JudgeClaim(claim, "digest", false) == ClaimVerdict::kUnknown);
 }
 
-TEST(Claims, OtherContentIsAMismatch) {
+TEST(Claims, DifferentContentIsAMismatch) {
   CHECK_TRUE(JudgeClaim(claim, "other", true) == ClaimVerdict::kMismatch);
 }
 
--- a/test/clock-test.cc
+++ b/test/clock-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the clock type.
+/// Tests of durations, time points and clocks.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,7 +19,7 @@
   CHECK_TRUE(TimePoint(1) < TimePoint(2));
 }
 
-TEST(Clock, FakeClockMovesOnlyWhenTold) {
+TEST(Clock, FakeClockMovesOnlyWhenAdvanced) {
   FakeClock clock;
   const TimePoint before = clock.Now();
   clock.Advance(Duration(7));
