--- a/include/limeledge/commit_queue.h
+++ b/include/limeledge/commit_queue.h
@@ -1,6 +1,6 @@
 /// @file
-/// Group commit of conditional writes, with lost answers settled by a fence
-/// row.
+/// Group commit of conditional writes. A fence row resolves transactions whose
+/// replies were lost.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -22,54 +22,65 @@
 
 namespace limeledge {
 
-/// Names one intent inside one queue.
+/// Identifies an intent within one queue.
 using IntentId = Number<struct IntentIdTag>;
 
-/// Which intents go first when the write budget is short.
+/// Priority of an intent, highest first. Batches are filled in this order, so
+/// lower priorities wait longer when the write budget is short.
 enum class WritePriority { kSettings, kJobs, kClaims, kBookkeeping };
 inline constexpr std::size_t kWritePriorities = 4;
 
-/// A conditional write that waits for the store.
+/// A conditional write of one or more rows, applied completely or not at all.
 struct WriteIntent {
   IntentId id;
   WritePriority priority = WritePriority::kJobs;
   std::vector<Condition> conditions;
   std::vector<Write> writes;
-  /// Dropped as `kNotWritten` when it has not been sent by then.
+  /// Deadline for sending. An intent that is still waiting then is dropped with
+  /// the outcome `kNotWritten`.
   TimePoint give_up;
 };
 
-/// What became of an intent.
+/// Final outcome of an intent.
 enum class IntentOutcome {
+  /// All writes were applied.
   kCommitted,
   /// A condition failed; nothing was written.
   kConflict,
-  /// Never sent, or certainly without effect.
+  /// The intent was not sent, or the store certainly did not apply it.
   kNotWritten,
-  /// The fence row vanished while an answer was missing.
+  /// A reply was lost and the fence row was deleted, so it is unknown whether
+  /// the writes were applied.
   kUnknown,
 };
 
+/// The outcome of one intent.
 struct IntentResult {
   IntentId id;
   IntentOutcome outcome = IntentOutcome::kNotWritten;
-  /// Revision of the written rows, for `kCommitted`.
+  /// Revision of the written rows; set only for `kCommitted`.
   Revision revision;
-  /// The present rows of this intent's failed conditions, for `kConflict`.
+  /// Current rows of this intent's failed conditions; set only for `kConflict`.
   std::vector<Row> current;
 };
 
-/// Bounds of one queue.
+/// Options of a commit queue.
 struct CommitQueueOptions {
-  /// Row that only this queue writes; one key per process incarnation.
+  /// Key of the fence row, which only this queue writes. Every process
+  /// incarnation must use a key of its own.
   std::string fence_key;
+  /// A batch takes no further intent once it has this many rows, including the
+  /// fence row. The last intent may exceed the limit.
   std::size_t max_rows_per_batch = 64;
 };
 
-/// Sends all waiting intents in one transaction per round trip. Every
-/// transaction also writes the fence row, so that a transaction whose answer
-/// was lost is settled exactly: a new write of the fence row either succeeds,
-/// and the lost one can never take effect, or fails and shows that it did.
+/// Batches waiting intents into one transaction per round trip.
+///
+/// Every transaction also writes the fence row, on condition that the row has
+/// the version last seen. This resolves a transaction whose reply was lost: the
+/// queue writes the fence row again on the same condition. If that write
+/// succeeds, the lost transaction was not applied and can no longer be applied;
+/// if it fails, the value of the fence row tells which write was applied.
 ///
 ///     queue.Push(intent);
 ///     if (auto tx = queue.Next(now)) Send(*tx);
@@ -80,35 +91,40 @@
  public:
   explicit CommitQueue(CommitQueueOptions options);
 
-  /// Adds an intent. Precondition: `intent.id` is not waiting here already.
+  /// Adds an intent. Precondition: no intent with `intent.id` is waiting.
   void Push(WriteIntent intent);
 
-  /// Returns the next transaction to send, or nothing when one is in flight,
-  /// nothing waits, or `budget` (in rows) is used up.
+  /// Returns the next transaction to send. Returns nothing if a transaction is
+  /// in flight, there is nothing to send, or `budget` (in rows) is exhausted.
   std::optional<Transaction> Next(TimePoint now, RateLimiter& budget);
 
-  /// Takes the reply to the transaction that `Next` returned last.
+  /// Handles the reply to the transaction that `Next` returned last, and
+  /// returns the intents that are finished, including expired ones.
   /// Precondition: a transaction is in flight.
   std::vector<IntentResult> OnReply(TimePoint now,
                                     const TransactionReply& reply);
 
-  /// Removes intents that were not sent by their `give_up` moment.
+  /// Removes waiting intents whose `give_up` time has come and returns them
+  /// with the outcome `kNotWritten`.
   std::vector<IntentResult> Expire(TimePoint now);
 
+  /// True while a transaction was sent and its reply is outstanding.
   bool in_flight() const { return phase_ != Phase::kIdle; }
-  /// True while an answer is missing and the fence has not settled it.
+  /// True from a lost reply until the fence row has resolved it.
   bool in_doubt() const { return in_doubt_; }
+  /// Number of intents that wait to be sent.
   std::size_t waiting() const;
+  /// Number of intents that were sent and have no known outcome.
   std::size_t batch_size() const { return batch_.size(); }
 
  private:
-  enum class Phase { kIdle, kBatch, kSettle };
+  enum class Phase { kIdle, kBatch, kResolve };
 
   Transaction StartBatch();
-  Transaction StartSettle();
+  Transaction StartResolve();
   std::vector<IntentResult> OnCommitted(Revision revision);
   std::vector<IntentResult> OnConflict(const TransactionConflict& conflict);
-  std::vector<IntentResult> SettleAgainst(const Row& fence);
+  std::vector<IntentResult> ResolveAgainst(const Row& fence);
   std::vector<IntentResult> RejectConflicting(
       const TransactionConflict& conflict);
   std::vector<IntentResult> FinishBatch(IntentOutcome outcome,
--- a/src/commit_queue.cc
+++ b/src/commit_queue.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Group commit and the settling of lost answers.
+/// Group commit, and resolution of lost replies by the fence row.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,8 +20,8 @@
   return static_cast<std::size_t>(priority);
 }
 
-/// True when the intent touches a key that is in `keys` already.
-bool Touches(const WriteIntent& intent, const std::set<std::string>& keys) {
+/// Returns true if the intent reads or writes a key in `keys`.
+bool UsesAny(const WriteIntent& intent, const std::set<std::string>& keys) {
   for (const Write& write : intent.writes) {
     if (keys.count(write.key) != 0) return true;
   }
@@ -62,7 +62,7 @@
   if (in_flight()) return std::nullopt;
   if (in_doubt_) {
     if (!budget.Take(now, 1.0)) return std::nullopt;
-    return StartSettle();
+    return StartResolve();
   }
   if (waiting() == 0 || !budget.ReadyAt(now)) return std::nullopt;
   Transaction transaction = StartBatch();
@@ -117,13 +117,14 @@
   transaction.writes.push_back(FenceWrite());
   std::set<std::string> written;
   for (std::deque<WriteIntent>& queue : waiting_) {
-    // A key that was passed over blocks its later intents, to keep their order.
-    std::set<std::string> passed;
+    // Intents with the same key must keep their order, so a skipped intent
+    // also holds back the later intents of this priority that use its keys.
+    std::set<std::string> skipped;
     for (auto it = queue.begin(); it != queue.end();) {
       const bool full =
           transaction.writes.size() >= options_.max_rows_per_batch;
-      if (full || Touches(*it, written) || Touches(*it, passed)) {
-        AddKeys(*it, &passed);
+      if (full || UsesAny(*it, written) || UsesAny(*it, skipped)) {
+        AddKeys(*it, &skipped);
         ++it;
         continue;
       }
@@ -141,11 +142,11 @@
   return transaction;
 }
 
-Transaction CommitQueue::StartSettle() {
+Transaction CommitQueue::StartResolve() {
   Transaction transaction;
   transaction.conditions.push_back({options_.fence_key, fence_version_});
   transaction.writes.push_back(FenceWrite());
-  phase_ = Phase::kSettle;
+  phase_ = Phase::kResolve;
   return transaction;
 }
 
@@ -154,29 +155,29 @@
 }
 
 std::vector<IntentResult> CommitQueue::OnCommitted(Revision revision) {
-  const bool settled = phase_ == Phase::kSettle;
+  const bool resolved = phase_ == Phase::kResolve;
   phase_ = Phase::kIdle;
   in_doubt_ = false;
   fence_version_ = revision;
-  if (!settled) return FinishBatch(IntentOutcome::kCommitted, revision);
+  if (!resolved) return FinishBatch(IntentOutcome::kCommitted, revision);
   RequeueBatch();
   return {};
 }
 
 std::vector<IntentResult> CommitQueue::OnConflict(
     const TransactionConflict& conflict) {
-  const bool settling = phase_ == Phase::kSettle;
+  const bool resolving = phase_ == Phase::kResolve;
   phase_ = Phase::kIdle;
   for (const Row& row : conflict.current) {
-    const bool fence_moved =
+    const bool fence_changed =
         row.key == options_.fence_key && row.version != fence_version_;
-    if (fence_moved) return SettleAgainst(row);
+    if (fence_changed) return ResolveAgainst(row);
   }
-  if (settling) return {};
+  if (resolving) return {};
   return RejectConflicting(conflict);
 }
 
-std::vector<IntentResult> CommitQueue::SettleAgainst(const Row& fence) {
+std::vector<IntentResult> CommitQueue::ResolveAgainst(const Row& fence) {
   in_doubt_ = false;
   fence_version_ = fence.version;
   if (fence.version == Revision(0)) {
@@ -185,7 +186,8 @@
   if (fence.value == absl::StrCat(batch_token_)) {
     return FinishBatch(IntentOutcome::kCommitted, fence.version);
   }
-  // A settling write of ours took effect and its answer was lost.
+  // The fence row holds the token of an earlier resolving write whose reply was
+  // lost. That write was applied, so the batch was not.
   RequeueBatch();
   return {};
 }
@@ -193,17 +195,17 @@
 std::vector<IntentResult> CommitQueue::RejectConflicting(
     const TransactionConflict& conflict) {
   std::vector<IntentResult> results;
-  std::vector<WriteIntent> again;
+  std::vector<WriteIntent> retry;
   for (WriteIntent& intent : batch_) {
     std::vector<Row> failed = FailedRows(intent, conflict.current);
     if (failed.empty()) {
-      again.push_back(std::move(intent));
+      retry.push_back(std::move(intent));
       continue;
     }
     results.push_back(
         {intent.id, IntentOutcome::kConflict, Revision(), std::move(failed)});
   }
-  batch_ = std::move(again);
+  batch_ = std::move(retry);
   RequeueBatch();
   return results;
 }
--- a/test/commit-queue-test.cc
+++ b/test/commit-queue-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of group commit and of settling lost answers.
+/// Tests of group commit and of resolving lost replies.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -36,16 +36,16 @@
     return *transaction;
   }
 
-  std::vector<IntentResult> Answer(const Transaction& transaction) {
+  std::vector<IntentResult> Reply(const Transaction& transaction) {
     return queue.OnReply(TimePoint(0), table.Commit(transaction));
   }
 
-  std::vector<IntentResult> Lose() {
+  std::vector<IntentResult> LoseReply() {
     return queue.OnReply(TimePoint(0), TransactionLost{});
   }
 
-  static bool Is(const std::vector<IntentResult>& results, IntentId id,
-                 IntentOutcome outcome) {
+  static bool HasOutcome(const std::vector<IntentResult>& results, IntentId id,
+                         IntentOutcome outcome) {
     return std::any_of(results.begin(), results.end(),
                        [&](const IntentResult& result) {
                          return result.id == id && result.outcome == outcome;
@@ -53,12 +53,12 @@
   }
 };
 
-TEST(CommitQueue, WaitingIntentsGoInOneTransaction) {
+TEST(CommitQueue, WaitingIntentsShareOneTransaction) {
   const IntentId a = Push("a", 0, "1");
   const IntentId b = Push("b", 0, "2");
-  const auto results = Answer(MustSend());
-  CHECK_TRUE(Is(results, a, IntentOutcome::kCommitted));
-  CHECK_TRUE(Is(results, b, IntentOutcome::kCommitted));
+  const auto results = Reply(MustSend());
+  CHECK_TRUE(HasOutcome(results, a, IntentOutcome::kCommitted));
+  CHECK_TRUE(HasOutcome(results, b, IntentOutcome::kCommitted));
   STRCMP_EQUAL("2", table.Read("b").value.c_str());
 }
 
@@ -67,7 +67,7 @@
   const Transaction first = MustSend();
   Push("b", 0, "2");
   CHECK_FALSE(queue.Next(TimePoint(0), budget).has_value());
-  Answer(first);
+  Reply(first);
   CHECK_TRUE(queue.Next(TimePoint(0), budget).has_value());
 }
 
@@ -75,58 +75,59 @@
   table.Commit({{}, {{"a", "other", false}}});
   const IntentId a = Push("a", 0, "1");
   const IntentId b = Push("b", 0, "2");
-  const auto results = Answer(MustSend());
-  CHECK_TRUE(Is(results, a, IntentOutcome::kConflict));
+  const auto results = Reply(MustSend());
+  CHECK_TRUE(HasOutcome(results, a, IntentOutcome::kConflict));
   STRCMP_EQUAL("other", results.front().current.front().value.c_str());
-  CHECK_TRUE(Is(Answer(MustSend()), b, IntentOutcome::kCommitted));
+  CHECK_TRUE(HasOutcome(Reply(MustSend()), b, IntentOutcome::kCommitted));
 }
 
-TEST(CommitQueue, LostAnswerAfterEffectIsSettledAsCommitted) {
+TEST(CommitQueue, LostReplyOfAppliedBatchResolvesAsCommitted) {
   const IntentId a = Push("a", 0, "1");
   table.Commit(MustSend());
-  LONGS_EQUAL(0, Lose().size());
+  LONGS_EQUAL(0, LoseReply().size());
   CHECK_TRUE(queue.in_doubt());
-  CHECK_TRUE(Is(Answer(MustSend()), a, IntentOutcome::kCommitted));
+  CHECK_TRUE(HasOutcome(Reply(MustSend()), a, IntentOutcome::kCommitted));
   CHECK_FALSE(queue.in_doubt());
 }
 
-TEST(CommitQueue, LostAnswerStaysCommittedAfterTheRowWasOverwritten) {
+TEST(CommitQueue, LostReplyResolvesAsCommittedAfterTheRowWasOverwritten) {
   const IntentId a = Push("a", 0, "1");
   table.Commit(MustSend());
-  Lose();
+  LoseReply();
   table.Commit({{}, {{"a", "somebody else", false}}});
-  CHECK_TRUE(Is(Answer(MustSend()), a, IntentOutcome::kCommitted));
+  CHECK_TRUE(HasOutcome(Reply(MustSend()), a, IntentOutcome::kCommitted));
 }
 
-TEST(CommitQueue, LostTransactionWithoutEffectIsSentAgainAfterAFence) {
+TEST(CommitQueue, LostTransactionThatWasNotAppliedIsSentAgain) {
   const IntentId a = Push("a", 0, "1");
   const Transaction lost = MustSend();
-  Lose();
-  LONGS_EQUAL(0, Answer(MustSend()).size());
-  // The first one arrives late: the fence has made it void.
+  LoseReply();
+  LONGS_EQUAL(0, Reply(MustSend()).size());
+  // The first transaction arrives late. Its condition on the fence row fails,
+  // so the writes are not applied twice.
   CHECK_TRUE(std::holds_alternative<TransactionConflict>(table.Commit(lost)));
-  CHECK_TRUE(Is(Answer(MustSend()), a, IntentOutcome::kCommitted));
+  CHECK_TRUE(HasOutcome(Reply(MustSend()), a, IntentOutcome::kCommitted));
   STRCMP_EQUAL("1", table.Read("a").value.c_str());
 }
 
-TEST(CommitQueue, LostFenceIsSettledByTheNextOne) {
+TEST(CommitQueue, LostResolvingWriteIsResolvedByTheNextOne) {
   const IntentId a = Push("a", 0, "1");
   MustSend();
-  Lose();
+  LoseReply();
   table.Commit(MustSend());
-  Lose();
-  LONGS_EQUAL(0, Answer(MustSend()).size());
-  CHECK_TRUE(Is(Answer(MustSend()), a, IntentOutcome::kCommitted));
+  LoseReply();
+  LONGS_EQUAL(0, Reply(MustSend()).size());
+  CHECK_TRUE(HasOutcome(Reply(MustSend()), a, IntentOutcome::kCommitted));
 }
 
-TEST(CommitQueue, VanishedFenceMakesTheOutcomeUnknown) {
+TEST(CommitQueue, DeletedFenceRowMakesTheOutcomeUnknown) {
   Push("a", 0, "1");
-  Answer(MustSend());
+  Reply(MustSend());
   const IntentId b = Push("b", 0, "1");
   MustSend();
-  Lose();
+  LoseReply();
   table.Commit({{}, {{"instance/e1/1", "", true}}});
-  CHECK_TRUE(Is(Answer(MustSend()), b, IntentOutcome::kUnknown));
+  CHECK_TRUE(HasOutcome(Reply(MustSend()), b, IntentOutcome::kUnknown));
 }
 
 TEST(CommitQueue, WritesOfOneKeyKeepTheirOrder) {
@@ -134,12 +135,12 @@
   Push("a", 1, "2");
   const Transaction first = MustSend();
   LONGS_EQUAL(2, first.writes.size());
-  Answer(first);
-  Answer(MustSend());
+  Reply(first);
+  Reply(MustSend());
   STRCMP_EQUAL("2", table.Read("a").value.c_str());
 }
 
-TEST(CommitQueue, SettingsGoBeforeBookkeeping) {
+TEST(CommitQueue, SettingsAreSentBeforeBookkeeping) {
   CommitQueue small{{"fence", 2}};
   small.Push({IntentId(1),
               WritePriority::kBookkeeping,
@@ -155,17 +156,18 @@
   STRCMP_EQUAL("fast", transaction->writes.back().key.c_str());
 }
 
-TEST(CommitQueue, OldIntentIsNotWritten) {
+TEST(CommitQueue, ExpiredIntentIsNotWritten) {
   const IntentId a = Push("a", 0, "1", TimePoint(10));
-  CHECK_TRUE(Is(queue.Expire(TimePoint(10)), a, IntentOutcome::kNotWritten));
+  CHECK_TRUE(
+      HasOutcome(queue.Expire(TimePoint(10)), a, IntentOutcome::kNotWritten));
   CHECK_FALSE(queue.Next(TimePoint(10), budget).has_value());
 }
 
-TEST(CommitQueue, UsedUpBudgetHoldsWritesBack) {
+TEST(CommitQueue, ExhaustedBudgetDelaysWrites) {
   RateLimiter small{10, 1};
   Push("a", 0, "1");
   CHECK_TRUE(queue.Next(TimePoint(0), small).has_value());
-  Answer({});
+  Reply({});
   Push("b", 0, "1");
   CHECK_FALSE(queue.Next(TimePoint(10), small).has_value());
   CHECK_TRUE(queue.Next(TimePoint(300), small).has_value());
