--- a/include/limeledge/finding.h
+++ b/include/limeledge/finding.h
@@ -1,5 +1,5 @@
 /// @file
-/// Findings: faults in some input, each with its place, reported together.
+/// Validation errors with their locations in the input.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,23 +15,24 @@
 
 namespace limeledge {
 
-/// One fault in an input.
+/// One validation error in an input.
 struct Finding {
   /// File name, or the name of the input such as "body".
   std::string source;
-  /// From 1; 0 when the input has no lines.
+  /// Line number, starting at 1; 0 if the position is unknown.
   int line = 0;
+  /// Column number, starting at 1; 0 if the position is unknown.
   int column = 0;
-  /// Path of the faulty value, such as "workspaces/bridges/weight".
+  /// Path of the invalid value, such as "workspaces/bridges/weight".
   std::string path;
   std::string message;
 };
 
-/// Returns "FILE:LINE:COLUMN: PATH: MESSAGE", without the parts that are not
-/// known. Safe from any thread.
+/// Formats a finding as "SOURCE:LINE:COLUMN: PATH: MESSAGE". The position is
+/// omitted if `line` is 0, the path if it is empty. Safe from any thread.
 std::string ToString(const Finding& finding);
 
-/// Collects findings.
+/// Collects the findings of one input, so that they can be reported together.
 ///
 ///     Findings findings("settings.yaml");
 ///     findings.Add("workspaces/a", "must name a hall");
@@ -42,13 +43,16 @@
  public:
   explicit Findings(std::string source) : source_(std::move(source)) {}
 
+  /// Adds a finding without a position.
   void Add(std::string path, std::string message);
+  /// Adds a finding with a position; `line` and `column` start at 1.
   void Add(std::string path, int line, int column, std::string message);
 
   bool empty() const { return all_.empty(); }
   const std::vector<Finding>& all() const { return all_; }
 
-  /// OK when there are none, else `kInvalidArgument` naming every one.
+  /// Returns OK if there are no findings, otherwise `kInvalidArgument` with all
+  /// findings in the message, one per line.
   absl::Status ToStatus() const;
 
  private:
--- a/src/finding.cc
+++ b/src/finding.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Formats findings.
+/// Collects and formats findings.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/src/lease.cc
+++ b/src/lease.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Lease bookkeeping of holders and challengers.
+/// Implementation of lease timing.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/test/finding-test.cc
+++ b/test/finding-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of findings.
+/// Tests of collecting and formatting findings.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -12,9 +12,9 @@
 
 TEST_GROUP(Finding) { Findings findings{"file.yaml"}; };
 
-TEST(Finding, NoneIsOk) { CHECK_TRUE(findings.ToStatus().ok()); }
+TEST(Finding, NoFindingsIsOk) { CHECK_TRUE(findings.ToStatus().ok()); }
 
-TEST(Finding, AllAreReportedTogetherWithTheirPlaces) {
+TEST(Finding, AllFindingsAreReportedWithTheirPositions) {
   findings.Add("a/b", 3, 7, "is wrong");
   findings.Add("", "is empty");
   STRCMP_EQUAL("file.yaml:3:7: a/b: is wrong\nfile.yaml: is empty",
--- a/test/lease-test.cc
+++ b/test/lease-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of held and watched leases.
+/// Tests of lease timing for holders and observers.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,31 +15,31 @@
   WatchedLease watched{Duration(6000)};
 };
 
-TEST(Lease, HeldCountsFromBeforeTheWriteLessTheMargin) {
+TEST(Lease, HeldLeaseStartsAtTheSendAndEndsBeforeTheMargin) {
   held.Renewed(TimePoint(100));
   CHECK_TRUE(held.ValidAt(TimePoint(5099)));
   CHECK_FALSE(held.ValidAt(TimePoint(5100)));
 }
 
-TEST(Lease, HolderPausedPastLeaseWakesUpWithoutIt) {
+TEST(Lease, HolderPausedPastItsLeaseFindsItExpired) {
   held.Renewed(TimePoint(0));
   CHECK_FALSE(held.ValidAt(TimePoint(60000)));
   CHECK_TRUE(held.DueAt(TimePoint(60000)));
 }
 
-TEST(Lease, HeldIsDueAfterAThird) {
+TEST(Lease, RenewalIsDueAfterAThird) {
   held.Renewed(TimePoint(0));
   CHECK_FALSE(held.DueAt(TimePoint(1999)));
   CHECK_TRUE(held.DueAt(TimePoint(2000)));
 }
 
-TEST(Lease, DroppedIsNotValid) {
+TEST(Lease, DroppedLeaseIsNotValid) {
   held.Renewed(TimePoint(0));
   held.Drop();
   CHECK_FALSE(held.ValidAt(TimePoint(1)));
 }
 
-TEST(Lease, WatchedLapsesOnlyWithoutChange) {
+TEST(Lease, WatchedLeaseExpiresOnlyWithoutChange) {
   watched.Observe(TimePoint(0), Revision(5));
   CHECK_FALSE(watched.LapsedAt(TimePoint(5999)));
   watched.Observe(TimePoint(5000), Revision(6));
@@ -48,7 +48,7 @@
   CHECK_TRUE(watched.LapsedAt(TimePoint(11000)));
 }
 
-TEST(Lease, WatchedNeverSeenHasNotLapsed) {
+TEST(Lease, UnobservedLeaseHasNotExpired) {
   CHECK_FALSE(watched.LapsedAt(TimePoint(100000)));
 }
 
