--- a/include/limeledge/membership.h
+++ b/include/limeledge/membership.h
@@ -1,5 +1,5 @@
 /// @file
-/// Live and leaving members, from a lagging list and direct heartbeats.
+/// Membership from the platform's instance list and from direct heartbeats.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,27 +15,40 @@
 
 namespace limeledge {
 
-enum class MemberState { kLive, kLeaving, kSuspect, kGone };
+/// State of a member, as one instance sees it.
+enum class MemberState {
+  /// A heartbeat was received recently, or the member was listed recently and
+  /// no heartbeat has been received from it.
+  kLive,
+  /// The member is shutting down, by the list or by its own heartbeat.
+  kLeaving,
+  /// The member is listed, but its heartbeats are missing.
+  kSuspect,
+  /// The member is not listed and its heartbeats are missing.
+  kGone,
+};
 
 /// Returns a lower-case name such as "leaving". Safe from any thread.
 const char* ToString(MemberState state);
 
-/// One line of the platform's instance list.
+/// One entry of the platform's instance list.
 struct ListedMember {
   InstanceId id;
   bool leaving = false;
 };
 
+/// Failure detection timeouts.
 struct MembershipOptions {
-  /// A member unheard for this long is suspect.
+  /// A member is suspect after this long without a heartbeat.
   Duration suspect_after{5000};
-  /// A new or unheard member counts as live for this long after its listing.
+  /// A listed member that has never sent a heartbeat counts as live for this
+  /// long after it was first listed.
   Duration listing_grace{5000};
 };
 
-/// Merges the instance list, which lags, with heartbeats, which may be lost.
-/// A sign of leaving from either side is believed at once; one that was heard
-/// is never taken back within the same incarnation.
+/// Merges the instance list, which lags behind, with heartbeats, which may be
+/// lost. A member counts as leaving as soon as either source reports it. A
+/// leaving state from a heartbeat lasts until the member's next incarnation.
 ///
 ///     members.OnList(now, listed);
 ///     members.OnHeartbeat(now, id, incarnation, leaving);
@@ -46,30 +59,35 @@
  public:
   Membership(InstanceId self, MembershipOptions options);
 
-  /// Changes how long silence is borne.
+  /// Changes the timeouts.
   void SetOptions(MembershipOptions options) { options_ = options; }
 
-  /// Replaces what the list said. Members missing from it are gone unless
-  /// they are still heard.
+  /// Replaces the previous instance list. Members that are not in `listed` are
+  /// gone unless a recent heartbeat shows that they run.
   void OnList(TimePoint now, const std::vector<ListedMember>& listed);
 
-  /// Notes a heartbeat. A larger incarnation is a restarted member; a smaller
-  /// one is ignored.
+  /// Records a heartbeat. A larger incarnation than before means that the
+  /// member restarted; heartbeats of smaller incarnations are ignored.
   void OnHeartbeat(TimePoint now, const InstanceId& id,
                    std::int64_t incarnation, bool leaving);
 
-  /// Marks this instance as leaving, for good.
+  /// Marks this instance as leaving. This cannot be undone.
   void LeaveSelf() { self_leaving_ = true; }
+  /// True if this instance is leaving, by `LeaveSelf` or by the instance list.
   bool self_leaving() const { return self_leaving_; }
 
+  /// Returns the state of a member or of this instance; `kGone` for unknown
+  /// ids.
   MemberState StateOf(TimePoint now, const InstanceId& id) const;
 
-  /// Live members in id order; includes this instance unless it is leaving.
+  /// Returns the live members in id order, including this instance unless it is
+  /// leaving.
   std::vector<InstanceId> Live(TimePoint now) const;
-  /// Members that still serve, in id order: live ones, and leaving ones that
-  /// are heard or are this instance.
+  /// Returns the members that can serve requests, in id order: this instance,
+  /// live members, and leaving members with a recent heartbeat.
   std::vector<InstanceId> Serving(TimePoint now) const;
-  /// Every listed or heard member other than this one, in id order.
+  /// Returns all known members except this instance, in id order and whatever
+  /// their state.
   std::vector<InstanceId> Peers() const;
 
   const InstanceId& self() const { return self_; }
--- a/include/limeledge/ownership.h
+++ b/include/limeledge/ownership.h
@@ -1,5 +1,5 @@
 /// @file
-/// Who owns a named resource, decided by epochs in the table service.
+/// Exclusive ownership of a named resource, with epochs as fencing tokens.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,36 +15,49 @@
 
 namespace limeledge {
 
-/// The row that decides who owns a resource.
+/// The stored owner of a resource.
 struct OwnershipRecord {
+  /// Fencing token; each claim increments it.
   Epoch epoch;
-  /// Empty when the last owner handed the resource over.
+  /// Empty if the last holder released the resource.
   InstanceId holder;
-  /// Incarnation of the holder: a restarted instance does not hold what its
-  /// former process held.
+  /// Incarnation of the holder. A restarted instance does not hold the
+  /// resources of its previous incarnation.
   std::int64_t incarnation = 0;
-  /// Version of the record's row; 0 when there is none yet. It changes only
+  /// Version of the record's row; 0 if the row does not exist. It changes only
   /// with the epoch or the holder, so writes can be conditional on it.
   Revision version;
-  /// Version of the row that the holder rewrites to renew its lease.
+  /// Version of the renewal row, which the holder rewrites to renew its lease.
   Revision renewal;
 };
 
-/// What an instance should write now: `kRenew` rewrites the renewal row on
-/// condition that the record's row is unchanged; the others rewrite the
-/// record's row, `kClaim` on condition that both rows are unchanged.
-enum class OwnershipAction { kNone, kClaim, kRenew, kRelease };
+/// The write that an instance should make next.
+enum class OwnershipAction {
+  /// No write.
+  kNone,
+  /// Rewrite the record's row, on condition that the record's row and the
+  /// renewal row are unchanged.
+  kClaim,
+  /// Rewrite the renewal row, on condition that the record's row is unchanged.
+  kRenew,
+  /// Rewrite the record's row without a holder.
+  kRelease,
+};
 
-/// How long an ownership lasts without renewal.
+/// Lease times of a resource.
 struct OwnershipOptions {
+  /// How long ownership lasts without renewal.
   Duration lease{6000};
-  /// Kept back by the holder for clock drift and slow effects.
+  /// The holder stops acting this long before the lease ends, to allow for
+  /// clock drift and for effects that take time.
   Duration margin{1000};
 };
 
-/// Decides claims and renewals of one resource by one instance. Safety rests
-/// on the epoch, which every write for the resource is conditional on; the
-/// lease only keeps two instances from wasting work.
+/// Decides when one instance claims, renews and releases one resource.
+///
+/// Safety depends only on the epoch: every write for the resource must be
+/// conditional on it. The lease only avoids wasted work by two instances at the
+/// same time.
 ///
 ///     switch (ownership.Decide(now, preferred)) { ... }
 ///     ownership.OnWritten(sent_at, record);
@@ -56,43 +69,51 @@
   Ownership(InstanceId self, std::int64_t incarnation,
             OwnershipOptions options);
 
-  /// Changes the lease from the next renewal on.
+  /// Changes the lease times.
   void SetOptions(OwnershipOptions options);
 
-  /// Notes the record as it was read at `now`. Older versions are ignored.
+  /// Records the stored record as read at `now`. A record older than the known
+  /// one is ignored.
   void OnRead(TimePoint now, const OwnershipRecord& record);
 
-  /// Notes this instance's own committed write, sent at `sent_at`.
+  /// Records a committed write of this instance that was sent at `sent_at`.
+  /// `record` has the versions that the write produced. A record older than the
+  /// known one is ignored.
   void OnWritten(TimePoint sent_at, const OwnershipRecord& record);
 
-  /// Returns what to write now. `preferred` says whether this instance is the
-  /// rendezvous owner among live members; `stopping` that it is to hand over.
+  /// Returns the write to make now. `preferred` tells whether this instance is
+  /// the rendezvous owner among the live members, `stopping` whether it is
+  /// shutting down and must release the resource.
   OwnershipAction Decide(TimePoint now, bool preferred, bool stopping) const;
 
-  /// The record to write for `action`. Precondition: `action` is not `kNone`.
+  /// Returns the record to write for `action`. Precondition: `action` is not
+  /// `kNone`.
   OwnershipRecord Proposal(OwnershipAction action) const;
 
-  /// True while this instance is the holder and its lease has not run out.
+  /// Returns true while this instance is the holder and its lease is valid.
   bool HoldsAt(TimePoint now) const;
-  /// True while the last record known names this instance, lease or not.
+  /// Returns true if the newest known record names this incarnation as the
+  /// holder, even if the lease has expired.
   bool named() const {
     return record_.holder == self_ && record_.incarnation == incarnation_;
   }
-  /// When this instance learned that it holds its present epoch.
+  /// Returns when this instance sent the write that claimed its last epoch, or
+  /// when it read that claim from the store if the reply was lost.
   TimePoint since() const { return since_; }
 
+  /// Returns the newest known record.
   const OwnershipRecord& record() const { return record_; }
 
  private:
-  void NoteEpoch(TimePoint now);
+  void RecordEpoch(TimePoint now);
 
   InstanceId self_;
   std::int64_t incarnation_;
   OwnershipRecord record_;
   HeldLease held_;
   WatchedLease watched_;
-  /// This instance's last epoch, and when it learned of it.
-  Epoch since_epoch_;
+  /// The epoch that this instance claimed last, and when (see `since`).
+  Epoch claimed_epoch_;
   TimePoint since_;
 };
 
--- a/src/membership.cc
+++ b/src/membership.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Merges listings and heartbeats into member states.
+/// Derives member states from the instance list and heartbeats.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -83,10 +83,11 @@
   std::vector<InstanceId> serving = {self_};
   for (const auto& [id, entry] : entries_) {
     const MemberState state = StateOfEntry(now, entry);
-    const bool heard =
+    const bool recently_heard =
         entry.heard && now - entry.heard_at < options_.suspect_after;
-    const bool leaves = state == MemberState::kLeaving && heard;
-    if (state == MemberState::kLive || leaves) serving.push_back(id);
+    const bool leaving_and_heard =
+        state == MemberState::kLeaving && recently_heard;
+    if (state == MemberState::kLive || leaving_and_heard) serving.push_back(id);
   }
   std::sort(serving.begin(), serving.end());
   return serving;
@@ -100,13 +101,14 @@
 }
 
 MemberState Membership::StateOfEntry(TimePoint now, const Entry& entry) const {
-  const bool heard =
+  const bool recently_heard =
       entry.heard && now - entry.heard_at < options_.suspect_after;
-  const bool fresh = entry.listed && !entry.heard &&
-                     now - entry.listed_at < options_.listing_grace;
-  if (!entry.listed && !heard) return MemberState::kGone;
+  const bool newly_listed = entry.listed && !entry.heard &&
+                            now - entry.listed_at < options_.listing_grace;
+  if (!entry.listed && !recently_heard) return MemberState::kGone;
   if (entry.listed_leaving || entry.heard_leaving) return MemberState::kLeaving;
-  return heard || fresh ? MemberState::kLive : MemberState::kSuspect;
+  return recently_heard || newly_listed ? MemberState::kLive
+                                        : MemberState::kSuspect;
 }
 
 }  // namespace limeledge
--- a/src/ownership.cc
+++ b/src/ownership.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Decides who claims, renews and releases a resource.
+/// Decides when an instance claims, renews and releases a resource.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,12 +13,12 @@
 
 namespace {
 
-bool Older(const OwnershipRecord& a, const OwnershipRecord& b) {
+bool IsOlder(const OwnershipRecord& a, const OwnershipRecord& b) {
   return a.version < b.version ||
          (a.version == b.version && a.renewal < b.renewal);
 }
 
-Revision Newest(const OwnershipRecord& record) {
+Revision NewestVersion(const OwnershipRecord& record) {
   return std::max(record.version, record.renewal);
 }
 
@@ -37,19 +37,19 @@
 }
 
 void Ownership::OnRead(TimePoint now, const OwnershipRecord& record) {
-  if (Older(record, record_)) return;
-  const Epoch held_epoch = record_.epoch;
+  if (IsOlder(record, record_)) return;
+  const Epoch previous_epoch = record_.epoch;
   record_ = record;
-  watched_.Observe(now, Newest(record));
-  if (!named() || record_.epoch != held_epoch) held_.Drop();
-  NoteEpoch(now);
+  watched_.Observe(now, NewestVersion(record));
+  if (!named() || record_.epoch != previous_epoch) held_.Drop();
+  RecordEpoch(now);
 }
 
 void Ownership::OnWritten(TimePoint sent_at, const OwnershipRecord& record) {
-  if (Older(record, record_)) return;
+  if (IsOlder(record, record_)) return;
   record_ = record;
-  NoteEpoch(sent_at);
-  watched_.Observe(sent_at, Newest(record));
+  RecordEpoch(sent_at);
+  watched_.Observe(sent_at, NewestVersion(record));
   if (named()) {
     held_.Renewed(sent_at);
   } else {
@@ -57,9 +57,9 @@
   }
 }
 
-void Ownership::NoteEpoch(TimePoint now) {
-  if (!named() || record_.epoch == since_epoch_) return;
-  since_epoch_ = record_.epoch;
+void Ownership::RecordEpoch(TimePoint now) {
+  if (!named() || record_.epoch == claimed_epoch_) return;
+  claimed_epoch_ = record_.epoch;
   since_ = now;
 }
 
--- a/test/membership-test.cc
+++ b/test/membership-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of membership from lists and heartbeats.
+/// Tests of member states derived from instance lists and heartbeats.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,26 +19,26 @@
   }
 };
 
-TEST(Membership, ListedButUnheardIsLiveForAWhile) {
+TEST(Membership, ListedMemberIsLiveDuringTheGracePeriod) {
   members.OnList(TimePoint(0), {{other, false}});
   CHECK_TRUE(IsState(MemberState::kLive, TimePoint(4999)));
   CHECK_TRUE(IsState(MemberState::kSuspect, TimePoint(5000)));
 }
 
-TEST(Membership, HeardIsLiveWithoutTheList) {
+TEST(Membership, MemberWithHeartbeatsIsLiveWithoutListing) {
   members.OnHeartbeat(TimePoint(0), other, 1, false);
   CHECK_TRUE(IsState(MemberState::kLive, TimePoint(100)));
   CHECK_TRUE(IsState(MemberState::kGone, TimePoint(6000)));
 }
 
-TEST(Membership, HeardLeavingIsBelievedBeforeTheList) {
+TEST(Membership, LeavingHeartbeatOverridesTheList) {
   members.OnList(TimePoint(0), {{other, false}});
   members.OnHeartbeat(TimePoint(1), other, 1, true);
   members.OnHeartbeat(TimePoint(2), other, 1, false);
   CHECK_TRUE(IsState(MemberState::kLeaving, TimePoint(3)));
 }
 
-TEST(Membership, NewIncarnationIsNotLeaving) {
+TEST(Membership, RestartedMemberIsNotLeaving) {
   members.OnHeartbeat(TimePoint(0), other, 1, true);
   members.OnHeartbeat(TimePoint(1), other, 2, false);
   CHECK_TRUE(IsState(MemberState::kLive, TimePoint(2)));
@@ -46,14 +46,14 @@
   CHECK_TRUE(IsState(MemberState::kLive, TimePoint(4)));
 }
 
-TEST(Membership, DroppedFromTheListAndSilentIsGone) {
+TEST(Membership, UnlistedMemberWithoutHeartbeatsIsGone) {
   members.OnList(TimePoint(0), {{other, false}});
   members.OnList(TimePoint(10), {});
   CHECK_TRUE(IsState(MemberState::kGone, TimePoint(10)));
   LONGS_EQUAL(0, members.Peers().size());
 }
 
-TEST(Membership, LeavingMemberServesUntilItIsSilent) {
+TEST(Membership, LeavingMemberServesWhileItSendsHeartbeats) {
   members.OnHeartbeat(TimePoint(0), other, 1, true);
   LONGS_EQUAL(2, members.Serving(TimePoint(4999)).size());
   LONGS_EQUAL(1, members.Serving(TimePoint(5000)).size());
--- a/test/ownership-test.cc
+++ b/test/ownership-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of ownership by epochs.
+/// Tests of claiming, renewing and releasing a resource.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -11,7 +11,7 @@
 namespace limeledge {
 
 TEST_GROUP(Ownership) {
-  Ownership mine{InstanceId("e1"), 7, {Duration(6000), Duration(1000)}};
+  Ownership ownership{InstanceId("e1"), 7, {Duration(6000), Duration(1000)}};
 
   static OwnershipRecord Record(int epoch, const char* holder, int incarnation,
                                 int version, int renewal) {
@@ -19,44 +19,44 @@
             Revision(renewal)};
   }
 
-  /// Claims and commits at `at`.
+  /// Claims the resource with a write that is sent and committed at `at`.
   void Claim(TimePoint at) {
-    OwnershipRecord next = mine.Proposal(OwnershipAction::kClaim);
+    OwnershipRecord next = ownership.Proposal(OwnershipAction::kClaim);
     next.version = Revision(100 + at.ms());
-    mine.OnWritten(at, next);
+    ownership.OnWritten(at, next);
   }
 
   bool Decides(OwnershipAction action, TimePoint now, bool preferred,
                bool stopping = false) const {
-    return mine.Decide(now, preferred, stopping) == action;
+    return ownership.Decide(now, preferred, stopping) == action;
   }
 };
 
-TEST(Ownership, FreeIsClaimedByThePreferredOnly) {
+TEST(Ownership, UnownedResourceIsClaimedOnlyIfPreferred) {
   CHECK_TRUE(Decides(OwnershipAction::kClaim, TimePoint(0), true));
   CHECK_TRUE(Decides(OwnershipAction::kNone, TimePoint(0), false));
 }
 
-TEST(Ownership, ClaimRaisesTheEpoch) {
-  mine.OnRead(TimePoint(0), Record(4, "", 0, 9, 0));
-  const OwnershipRecord next = mine.Proposal(OwnershipAction::kClaim);
+TEST(Ownership, ClaimIncrementsTheEpoch) {
+  ownership.OnRead(TimePoint(0), Record(4, "", 0, 9, 0));
+  const OwnershipRecord next = ownership.Proposal(OwnershipAction::kClaim);
   LONGS_EQUAL(5, next.epoch.value());
   CHECK_TRUE(next.holder == InstanceId("e1"));
   LONGS_EQUAL(7, next.incarnation);
 }
 
-TEST(Ownership, OtherHolderIsReplacedOnlyAfterItsLease) {
-  mine.OnRead(TimePoint(0), Record(1, "e2", 1, 5, 0));
+TEST(Ownership, OtherHolderIsReplacedOnlyAfterItsLeaseExpires) {
+  ownership.OnRead(TimePoint(0), Record(1, "e2", 1, 5, 0));
   CHECK_TRUE(Decides(OwnershipAction::kNone, TimePoint(5000), true));
-  mine.OnRead(TimePoint(5000), Record(1, "e2", 1, 5, 6));
+  ownership.OnRead(TimePoint(5000), Record(1, "e2", 1, 5, 6));
   CHECK_TRUE(Decides(OwnershipAction::kNone, TimePoint(10000), true));
   CHECK_TRUE(Decides(OwnershipAction::kClaim, TimePoint(11000), true));
 }
 
-TEST(Ownership, FormerIncarnationIsAnotherHolder) {
-  mine.OnRead(TimePoint(0), Record(3, "e1", 6, 5, 0));
-  CHECK_FALSE(mine.named());
-  CHECK_FALSE(mine.HoldsAt(TimePoint(0)));
+TEST(Ownership, PreviousIncarnationIsADifferentHolder) {
+  ownership.OnRead(TimePoint(0), Record(3, "e1", 6, 5, 0));
+  CHECK_FALSE(ownership.named());
+  CHECK_FALSE(ownership.HoldsAt(TimePoint(0)));
   CHECK_TRUE(Decides(OwnershipAction::kNone, TimePoint(1000), true));
   CHECK_TRUE(Decides(OwnershipAction::kClaim, TimePoint(6000), true));
 }
@@ -65,37 +65,37 @@
   Claim(TimePoint(0));
   CHECK_TRUE(Decides(OwnershipAction::kNone, TimePoint(1000), true));
   CHECK_TRUE(Decides(OwnershipAction::kRenew, TimePoint(2000), true));
-  CHECK_TRUE(mine.HoldsAt(TimePoint(4999)));
-  CHECK_FALSE(mine.HoldsAt(TimePoint(5000)));
+  CHECK_TRUE(ownership.HoldsAt(TimePoint(4999)));
+  CHECK_FALSE(ownership.HoldsAt(TimePoint(5000)));
 }
 
 TEST(Ownership, PausedHolderMustRenewBeforeItActs) {
   Claim(TimePoint(0));
-  CHECK_FALSE(mine.HoldsAt(TimePoint(50000)));
+  CHECK_FALSE(ownership.HoldsAt(TimePoint(50000)));
   CHECK_TRUE(Decides(OwnershipAction::kRenew, TimePoint(50000), true));
 }
 
-TEST(Ownership, NewerEpochTakesItAwayForGood) {
+TEST(Ownership, NewerEpochEndsTheOwnership) {
   Claim(TimePoint(0));
-  mine.OnRead(TimePoint(10), Record(2, "e2", 1, 900, 0));
-  CHECK_FALSE(mine.HoldsAt(TimePoint(11)));
-  mine.OnRead(TimePoint(12), Record(1, "e1", 7, 100, 0));
-  CHECK_FALSE(mine.named());
+  ownership.OnRead(TimePoint(10), Record(2, "e2", 1, 900, 0));
+  CHECK_FALSE(ownership.HoldsAt(TimePoint(11)));
+  ownership.OnRead(TimePoint(12), Record(1, "e1", 7, 100, 0));
+  CHECK_FALSE(ownership.named());
 }
 
 TEST(Ownership, StoppingHolderReleases) {
   Claim(TimePoint(0));
   CHECK_TRUE(Decides(OwnershipAction::kRelease, TimePoint(10), true, true));
-  CHECK_TRUE(mine.Proposal(OwnershipAction::kRelease).holder.empty());
+  CHECK_TRUE(ownership.Proposal(OwnershipAction::kRelease).holder.empty());
 }
 
-TEST(Ownership, ClaimWhoseAnswerWasLostIsLearnedFromItsRow) {
-  OwnershipRecord next = mine.Proposal(OwnershipAction::kClaim);
+TEST(Ownership, ClaimWithALostReplyIsLearnedByReading) {
+  OwnershipRecord next = ownership.Proposal(OwnershipAction::kClaim);
   next.version = Revision(5);
-  mine.OnRead(TimePoint(40), next);
-  CHECK_TRUE(mine.named());
-  LONGS_EQUAL(40, mine.since().ms());
-  CHECK_FALSE(mine.HoldsAt(TimePoint(40)));
+  ownership.OnRead(TimePoint(40), next);
+  CHECK_TRUE(ownership.named());
+  LONGS_EQUAL(40, ownership.since().ms());
+  CHECK_FALSE(ownership.HoldsAt(TimePoint(40)));
   CHECK_TRUE(Decides(OwnershipAction::kRenew, TimePoint(40), true));
 }
 
