--- a/include/limeledge/rate_limiter.h
+++ b/include/limeledge/rate_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// A token bucket that shares a budget a second between members.
+/// A token bucket rate limiter.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -11,7 +11,8 @@
 
 namespace limeledge {
 
-/// Allows `per_second` units a second on average and `burst` at once.
+/// A token bucket that allows `per_second` units per second on average and up
+/// to `burst` units at a time.
 ///
 ///     RateLimiter limiter(100, 20);
 ///     if (limiter.Take(now, rows)) Send(rows);
@@ -19,19 +20,25 @@
 /// Thread safety: none; use it from one thread.
 class RateLimiter {
  public:
-  /// Precondition: `per_second` and `burst` are positive.
+  /// Creates a full bucket. Precondition: `per_second` and `burst` are
+  /// positive.
   RateLimiter(double per_second, double burst);
 
-  /// Changes the rate; what has been saved up stays, up to the new burst.
+  /// Changes the rate and the burst size. Available units are kept, up to the
+  /// new burst size.
   void SetRate(double per_second, double burst);
 
-  /// Takes `units` and returns true when at least one unit is there; a large
-  /// request may leave a debt that later calls pay off.
+  /// Takes `units` and returns true if at least one unit is available,
+  /// otherwise takes nothing and returns false. A request for more than the
+  /// available units leaves a negative balance, which the next units refill
+  /// first.
   bool Take(TimePoint now, double units);
 
-  /// True when `Take` would succeed now.
+  /// Returns true if `Take` would succeed now.
   bool ReadyAt(TimePoint now);
 
+  /// Returns the balance at the last call of `Take` or `ReadyAt`; it may be
+  /// negative.
   double available() const { return available_; }
 
  private:
--- a/src/rate_limiter.cc
+++ b/src/rate_limiter.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Token bucket arithmetic.
+/// Implementation of the token bucket.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -12,8 +12,9 @@
 
 namespace {
 
-/// Tenths that were added up may fall short of one by this much.
-constexpr double kRounding = 1e-9;
+/// Tolerance for floating-point error: adding 0.1 ten times gives slightly less
+/// than 1.
+constexpr double kTolerance = 1e-9;
 
 }  // namespace
 
@@ -34,7 +35,7 @@
 
 bool RateLimiter::ReadyAt(TimePoint now) {
   Refill(now);
-  return available_ >= 1.0 - kRounding;
+  return available_ >= 1.0 - kTolerance;
 }
 
 void RateLimiter::Refill(TimePoint now) {
