--- a/include/limeledge/rendezvous.h
+++ b/include/limeledge/rendezvous.h
@@ -1,5 +1,6 @@
 /// @file
-/// Rendezvous hashing: every member computes the same owner of a key.
+/// Rendezvous hashing: all members compute the same owner of a key without
+/// communication.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,12 +17,13 @@
 
 namespace limeledge {
 
-/// Returns a hash of the pair that is the same on every machine and version.
-/// Safe from any thread.
+/// Returns a hash of `key` and `member`. The value does not depend on the
+/// machine or the software version. Safe from any thread.
 std::uint64_t RendezvousWeight(std::string_view key, const InstanceId& member);
 
-/// Returns the member with the greatest weight for `key`, or an empty id when
-/// there are no members. When one member leaves, only its keys move.
+/// Returns the member with the greatest weight for `key`, or an empty id if
+/// there are no members. If a member leaves, only the keys it owned get new
+/// owners.
 ///
 ///     InstanceId owner = RendezvousOwner("hall/riga-1", members);
 ///
@@ -29,10 +31,12 @@
 InstanceId RendezvousOwner(std::string_view key,
                            const std::vector<InstanceId>& members);
 
-/// Owners of all `keys`, in their order, with no member owning more than its
-/// even share rounded up: a key whose first choice is full goes to its next
-/// one. Every member computes the same from the same keys and members. Empty
-/// ids when there are no members. Safe from any thread.
+/// Returns the owner of each key, in the order of `keys`. No member owns more
+/// than the number of keys divided by the number of members, rounded up: if the
+/// member with the greatest weight for a key has reached this limit, the key
+/// goes to the member with the next greatest weight. The result depends only on
+/// the keys, their order and the members. All ids are empty if there are no
+/// members. Safe from any thread.
 std::vector<InstanceId> BalancedOwners(const std::vector<std::string>& keys,
                                        const std::vector<InstanceId>& members);
 
--- a/include/limeledge/retry_budget.h
+++ b/include/limeledge/retry_budget.h
@@ -1,5 +1,5 @@
 /// @file
-/// A budget that keeps retries a bounded share of first attempts.
+/// A retry budget: limits retries to a share of first attempts.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -9,8 +9,8 @@
 
 namespace limeledge {
 
-/// Lets retries be at most a share of first attempts, plus a small reserve, so
-/// that a failing runner does not multiply its own load.
+/// Limits retries to a share of first attempts plus a fixed reserve, so that
+/// retries do not multiply the load on a failing runner.
 ///
 ///     budget.OnFirstAttempt();
 ///     if (budget.TakeRetry()) Retry();
@@ -18,15 +18,17 @@
 /// Thread safety: none; use it from one thread.
 class RetryBudget {
  public:
-  /// `share` is retries per first attempt (0.1 is a tenth); `reserve` is how
-  /// many retries may be saved up. Precondition: neither is negative.
+  /// `share` is the number of retries per first attempt, such as 0.1. `reserve`
+  /// is the initial and the maximum number of available retries.
+  /// Precondition: neither is negative.
   RetryBudget(double share, double reserve);
 
-  /// Earns `share` of a retry.
+  /// Records a first attempt, which adds `share` to the available retries.
   void OnFirstAttempt();
-  /// Spends one retry; returns false when none is left.
+  /// Takes one retry; returns false if less than one retry is available.
   bool TakeRetry();
 
+  /// Returns the number of available retries; it may be fractional.
   double available() const { return available_; }
 
  private:
--- a/src/rendezvous.cc
+++ b/src/rendezvous.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Rendezvous hashing by XXH64.
+/// Rendezvous hashing with XXH64.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -34,16 +34,16 @@
 std::vector<InstanceId> BalancedOwners(const std::vector<std::string>& keys,
                                        const std::vector<InstanceId>& members) {
   if (members.empty()) return std::vector<InstanceId>(keys.size());
-  const std::size_t most = (keys.size() + members.size() - 1) / members.size();
+  const std::size_t limit = (keys.size() + members.size() - 1) / members.size();
   std::map<InstanceId, std::size_t> owned;
   std::vector<InstanceId> owners;
   owners.reserve(keys.size());
   for (const std::string& key : keys) {
-    std::vector<InstanceId> open;
+    std::vector<InstanceId> eligible;
     for (const InstanceId& member : members) {
-      if (owned[member] < most) open.push_back(member);
+      if (owned[member] < limit) eligible.push_back(member);
     }
-    owners.push_back(RendezvousOwner(key, open));
+    owners.push_back(RendezvousOwner(key, eligible));
     ++owned[owners.back()];
   }
   return owners;
--- a/src/retry_budget.cc
+++ b/src/retry_budget.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Retry budget arithmetic.
+/// Implementation of the retry budget.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/test/rendezvous-test.cc
+++ b/test/rendezvous-test.cc
@@ -24,7 +24,8 @@
 };
 
 TEST(Rendezvous, WeightIsTheSameEverywhere) {
-  // A changed value would divide a running system into two opinions.
+  // During an upgrade, members with different weights would disagree about the
+  // owner of a key.
   CHECK_TRUE(RendezvousWeight("hall/riga-1", InstanceId("e1")) ==
              11891241873748137172ULL);
 }
@@ -38,7 +39,7 @@
   CHECK_TRUE(RendezvousOwner("k", members) == RendezvousOwner("k", reversed));
 }
 
-TEST(Rendezvous, LeavingMemberMovesOnlyItsKeys) {
+TEST(Rendezvous, LeavingMemberMovesOnlyItsOwnKeys) {
   std::vector<InstanceId> fewer(members.begin(), members.end() - 1);
   for (int key = 0; key < 500; ++key) {
     const std::string name = "key" + std::to_string(key);
@@ -48,7 +49,7 @@
   }
 }
 
-TEST(Rendezvous, BalancedOwnersHaveAtMostTheirShare) {
+TEST(Rendezvous, BalancedOwnersDoNotExceedTheLimit) {
   std::vector<std::string> keys;
   for (int key = 0; key < 5; ++key) {
     keys.push_back("hall/" + std::to_string(key));
--- a/test/retry-budget-test.cc
+++ b/test/retry-budget-test.cc
@@ -26,7 +26,7 @@
   CHECK_TRUE(budget.TakeRetry());
 }
 
-TEST(RetryBudget, SavingsAreBounded) {
+TEST(RetryBudget, ReserveIsAnUpperLimit) {
   for (int i = 0; i < 1000; ++i) budget.OnFirstAttempt();
   DOUBLES_EQUAL(2.0, budget.available(), 0.001);
 }
