--- a/include/limeledge/settings_follower.h
+++ b/include/limeledge/settings_follower.h
@@ -1,5 +1,5 @@
 /// @file
-/// Follows accepted settings versions, which never go back.
+/// Tracks the newest accepted version of the settings.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,32 +13,36 @@
 
 namespace limeledge {
 
-/// Holds the newest accepted settings text that this instance has seen, from
-/// the store or from a peer, in whichever order copies arrive.
+/// Holds the newest accepted settings that this instance has received from the
+/// store or from a peer. Copies may arrive in any order; the version in force
+/// never decreases.
 ///
 ///     if (follower.Offer(version, text)) Apply(follower.text());
 ///
 /// Thread safety: none; use it from one thread.
 class SettingsFollower {
  public:
-  /// Takes a copy. Returns true when it is newer than what is in force and so
-  /// has to be applied; older and equal versions change nothing.
+  /// Offers a copy of the settings. Returns true if it is newer than the
+  /// version in force; the copy is then in force and the caller must apply it.
+  /// Older and equal versions are ignored.
   bool Offer(SettingsVersion version, const std::string& text);
 
-  /// Notes that a peer has `version` in force.
+  /// Records that a peer has `version` in force.
   void Heard(SettingsVersion version);
 
-  /// True when a newer version is known than the one in force.
-  bool behind() const { return version_ < newest_heard_; }
-  /// True once any version is in force.
+  /// Returns true if a newer version than the one in force is known.
+  bool behind() const { return version_ < newest_known_; }
+  /// Returns true once any version is in force.
   bool ready() const { return version_ > SettingsVersion(0); }
 
+  /// Returns the version in force; 0 if there is none.
   SettingsVersion version() const { return version_; }
+  /// Returns the settings in force as YAML text; empty if there are none.
   const std::string& text() const { return text_; }
 
  private:
   SettingsVersion version_;
-  SettingsVersion newest_heard_;
+  SettingsVersion newest_known_;
   std::string text_;
 };
 
--- a/include/limeledge/table.h
+++ b/include/limeledge/table.h
@@ -1,5 +1,5 @@
 /// @file
-/// Typed rows and transactions of the platform's table service.
+/// Rows and transactions of the platform's table service.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,60 +15,72 @@
 
 namespace limeledge {
 
-/// A row as the table service returned it. Revision 0 means "no such row".
+/// A row as the table service returned it.
 struct Row {
   std::string key;
   std::string value;
-  /// Revision of the commit that last wrote the row; 0 when it is absent.
+  /// Revision of the commit that last wrote the row; 0 if the row does not
+  /// exist.
   Revision version;
 };
 
-/// Demands that a row still has the version that the writer last saw.
+/// Requires that a row has the version that the writer last read (optimistic
+/// concurrency control).
 struct Condition {
   std::string key;
-  /// 0 demands that the row does not exist.
+  /// Required version; 0 requires that the row does not exist.
   Revision version;
 };
 
-/// Replaces one row, or erases it.
+/// Creates, replaces or deletes one row.
 struct Write {
   std::string key;
+  /// New value of the row, unless `erase` is set.
   std::string value;
+  /// Deletes the row instead of writing `value`.
   bool erase = false;
 };
 
-/// All conditions hold and all writes take effect, or nothing happens.
+/// An atomic transaction: if all conditions hold, all writes are applied,
+/// otherwise none.
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
 };
 
-/// The transaction took effect; every written row has this revision.
+/// The transaction was applied.
 struct TransactionCommitted {
+  /// Revision of the commit, which is the version of every written row.
   Revision revision;
 };
 
-/// The transaction had no effect.
+/// A condition failed and the transaction was not applied.
 struct TransactionConflict {
-  /// The present rows of the conditions that failed.
+  /// Current rows of the conditions that failed.
   std::vector<Row> current;
 };
 
-/// No answer came: the transaction may or may not have taken effect.
+/// No reply was received; it is unknown whether the transaction was or will be
+/// applied.
 struct TransactionLost {};
 
+/// Result of sending a transaction.
 using TransactionReply =
     std::variant<TransactionCommitted, TransactionConflict, TransactionLost>;
 
-/// One page of rows that changed after a revision. Erased rows come with an
-/// empty value.
+/// A row that was written or deleted after a revision.
 struct ChangedRow {
+  /// The current row; its value is empty if it was deleted.
   Row row;
+  /// True if the row was deleted.
   bool erased = false;
 };
+
+/// One page of the rows that changed after a revision.
 struct ChangedRows {
-  /// Everything up to this revision has been read when `more` is false.
+  /// If `more` is false, all changes up to this revision have been returned.
   Revision revision;
+  /// True if further pages follow.
   bool more = false;
   std::vector<ChangedRow> rows;
 };
--- a/src/settings_follower.cc
+++ b/src/settings_follower.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps the newest settings version.
+/// Implementation of the settings version tracking.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,7 +17,7 @@
 }
 
 void SettingsFollower::Heard(SettingsVersion version) {
-  if (version > newest_heard_) newest_heard_ = version;
+  if (version > newest_known_) newest_known_ = version;
 }
 
 }  // namespace limeledge
--- a/test/settings-follower-test.cc
+++ b/test/settings-follower-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of following settings versions.
+/// Tests of tracking settings versions.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -11,20 +11,20 @@
 
 TEST_GROUP(SettingsFollower) { SettingsFollower follower; };
 
-TEST(SettingsFollower, NewerVersionIsTaken) {
+TEST(SettingsFollower, NewerVersionIsAccepted) {
   CHECK_TRUE(follower.Offer(SettingsVersion(1), "a"));
   CHECK_TRUE(follower.Offer(SettingsVersion(3), "c"));
   STRCMP_EQUAL("c", follower.text().c_str());
 }
 
-TEST(SettingsFollower, OlderAndEqualVersionsChangeNothing) {
+TEST(SettingsFollower, OlderAndEqualVersionsAreIgnored) {
   follower.Offer(SettingsVersion(3), "c");
   CHECK_FALSE(follower.Offer(SettingsVersion(2), "b"));
   CHECK_FALSE(follower.Offer(SettingsVersion(3), "x"));
   STRCMP_EQUAL("c", follower.text().c_str());
 }
 
-TEST(SettingsFollower, HeardVersionMakesItBehind) {
+TEST(SettingsFollower, NewerVersionOfAPeerMeansBehind) {
   follower.Offer(SettingsVersion(1), "a");
   CHECK_FALSE(follower.behind());
   follower.Heard(SettingsVersion(2));
