--- a/include/limeledge/membership.h
+++ b/include/limeledge/membership.h
@@ -25,7 +25,7 @@
   /// The member is listed, but its heartbeats are missing.
   kSuspect,
   /// The member is not listed and its heartbeats are missing.
-  kGone,
+  kGone
 };
 
 /// Returns a lower-case name such as "leaving". Safe from any thread.
--- a/include/limeledge/ownership.h
+++ b/include/limeledge/ownership.h
@@ -41,7 +41,7 @@
   /// Rewrite the renewal row, on condition that the record's row is unchanged.
   kRenew,
   /// Rewrite the record's row without a holder.
-  kRelease,
+  kRelease
 };
 
 /// Lease times of a resource.
--- a/include/limeledge/settings_follower.h
+++ b/include/limeledge/settings_follower.h
@@ -37,7 +37,7 @@
 
   /// Returns the version in force; 0 if there is none.
   SettingsVersion version() const { return version_; }
-  /// Returns the settings in force as YAML text; empty if there are none.
+  /// Returns the text of the settings in force; empty if there are none.
   const std::string& text() const { return text_; }
 
  private:
