--- a/src/settings/guarantee_check.cc
+++ b/src/settings/guarantee_check.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Packs guarantees into declared halls.
+/// Packs guarantees into the declared workers of halls.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,20 +17,22 @@
 
 namespace {
 
-/// A guarantee and the workspace that holds it.
-struct HeldGuarantee {
+/// A guarantee and its workspace.
+struct WorkspaceGuarantee {
   WorkspaceId workspace;
   const Guarantee* guarantee;
 };
 
-/// Rounds up to a power of two, the size of the cell that will hold it.
+/// Returns the size of the smallest cell with at least `accelerators`
+/// accelerators. Cell sizes are powers of two.
 int CellSize(int accelerators) {
   int size = 1;
   while (size < accelerators) size *= 2;
   return size;
 }
 
-/// Packs members into workers, largest first, as nested cells do.
+/// Tracks the free accelerators of a hall's workers while guarantees are packed
+/// into them. Guarantees must be added largest first, because cells are nested.
 class HallPacker {
  public:
   explicit HallPacker(const HallSettings& hall)
@@ -39,6 +41,8 @@
                   static_cast<std::size_t>(hall.workers_per_rack),
               hall.accelerators_per_worker) {}
 
+  /// Packs all members of the guarantee, into one rack if possible. Returns
+  /// false and packs nothing if they do not fit.
   bool Add(const Guarantee& guarantee) {
     const int cell = std::min(
         CellSize(guarantee.accelerators),
@@ -49,61 +53,67 @@
           static_cast<std::size_t>(hall_.workers_per_rack);
       const std::size_t last =
           first + static_cast<std::size_t>(hall_.workers_per_rack);
-      if (TakeFrom(first, last, guarantee.members, cell)) return true;
+      if (AllocateFrom(first, last, guarantee.members, cell)) return true;
     }
-    return TakeFrom(0, free_.size(), guarantee.members, cell);
+    return AllocateFrom(0, free_.size(), guarantee.members, cell);
   }
 
  private:
-  bool TakeFrom(std::size_t first, std::size_t last, int members, int cell) {
-    std::vector<int> after = free_;
-    int left = members;
-    for (std::size_t i = first; i < last && left > 0; ++i) {
-      const int fit = std::min(left, after[i] / cell);
-      after[i] -= fit * cell;
-      left -= fit;
+  /// Allocates one cell per member on the workers [first, last). Returns false
+  /// and allocates nothing if they do not fit.
+  bool AllocateFrom(std::size_t first, std::size_t last, int members,
+                    int cell) {
+    std::vector<int> remaining = free_;
+    int unplaced = members;
+    for (std::size_t i = first; i < last && unplaced > 0; ++i) {
+      const int placed = std::min(unplaced, remaining[i] / cell);
+      remaining[i] -= placed * cell;
+      unplaced -= placed;
     }
-    if (left > 0) return false;
-    free_ = std::move(after);
+    if (unplaced > 0) return false;
+    free_ = std::move(remaining);
     return true;
   }
 
   HallSettings hall_;
+  /// Free accelerators of each worker, rack by rack.
   std::vector<int> free_;
 };
 
-std::vector<HeldGuarantee> GuaranteesOf(const Settings& settings,
-                                        const HallId& hall) {
-  std::vector<HeldGuarantee> held;
+/// Returns the guarantees of all workspaces in a hall, largest members first.
+std::vector<WorkspaceGuarantee> GuaranteesOf(const Settings& settings,
+                                             const HallId& hall) {
+  std::vector<WorkspaceGuarantee> held;
   for (const auto& [id, workspace] : settings.workspaces) {
     for (const Guarantee& guarantee : workspace.guarantees) {
       if (guarantee.hall == hall) held.push_back({id, &guarantee});
     }
   }
-  std::stable_sort(held.begin(), held.end(),
-                   [](const HeldGuarantee& a, const HeldGuarantee& b) {
-                     return a.guarantee->accelerators >
-                            b.guarantee->accelerators;
-                   });
+  std::stable_sort(
+      held.begin(), held.end(),
+      [](const WorkspaceGuarantee& a, const WorkspaceGuarantee& b) {
+        return a.guarantee->accelerators > b.guarantee->accelerators;
+      });
   return held;
 }
 
 }  // namespace
 
-void CheckGuarantees(const Settings& settings, const YamlPlaces& places,
+void CheckGuarantees(const Settings& settings, const YamlLocations& locations,
                      Findings* findings) {
   for (const auto& [id, hall] : settings.halls) {
     HallPacker packer(hall);
-    for (const HeldGuarantee& held : GuaranteesOf(settings, id)) {
+    for (const WorkspaceGuarantee& held : GuaranteesOf(settings, id)) {
       if (packer.Add(*held.guarantee)) continue;
-      places.Add(absl::StrCat("workspaces/", held.workspace.value(),
-                              "/guarantees/", held.guarantee->name),
-                 absl::StrCat(held.guarantee->members, " x ",
-                              held.guarantee->accelerators,
-                              " accelerators do not fit into hall ", id.value(),
-                              " beside the other guarantees (the hall has ",
-                              hall.accelerators(), ")"),
-                 findings);
+      locations.Add(
+          absl::StrCat("workspaces/", held.workspace.value(), "/guarantees/",
+                       held.guarantee->name),
+          absl::StrCat(held.guarantee->members, " x ",
+                       held.guarantee->accelerators,
+                       " accelerators do not fit into hall ", id.value(),
+                       " together with the other guarantees (the hall has ",
+                       hall.accelerators(), " in total)"),
+          findings);
     }
   }
 }
--- a/src/settings/guarantee_check.h
+++ b/src/settings/guarantee_check.h
@@ -1,5 +1,5 @@
 /// @file
-/// Checks that all guarantees of a hall fit into it together.
+/// Checks that the guarantees in each hall fit into the hall's capacity.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,10 +13,11 @@
 
 namespace limeledge {
 
-/// Adds a finding for every guarantee that cannot be packed, together with
-/// those before it, into the declared workers of its hall. Members of one
-/// guarantee stay in one rack when a rack can hold them. Safe from any thread.
-void CheckGuarantees(const Settings& settings, const YamlPlaces& places,
+/// Packs the guarantees of each hall into its declared workers, largest first,
+/// and adds a finding for every guarantee that does not fit beside those packed
+/// before it. The members of a guarantee are packed into one rack if possible.
+/// `locations` gives the positions of the findings. Safe from any thread.
+void CheckGuarantees(const Settings& settings, const YamlLocations& locations,
                      Findings* findings);
 
 }  // namespace limeledge
--- a/src/settings/reader.cc
+++ b/src/settings/reader.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Reads and checks the settings tree.
+/// Reads and validates the settings tree.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -31,6 +31,7 @@
 constexpr std::int64_t kMaxMemoryMb = 1LL << 30;
 constexpr int kMaxMembers = 1024;
 
+/// Returns true if `text` is a SHA-256 digest in lower-case hexadecimal.
 bool IsDigest(const std::string& text) {
   return text.size() == kDigestChars &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) {
@@ -38,12 +39,15 @@
          });
 }
 
+/// Returns true if `name` is a valid value of `key`, which is `placement` or
+/// `shadow_placement`.
 bool IsPlacementName(const std::string& key, const std::string& name) {
   static const std::set<std::string> policies = {"cells", "fifo", "backfill"};
   if (policies.count(name) != 0) return true;
   return key == "shadow_placement" && name == "none";
 }
 
+/// Builds a settings tree from YAML and collects all validation errors.
 class Reader {
  public:
   explicit Reader(Findings* findings) : findings_(findings) {}
@@ -54,7 +58,7 @@
       ReadSection(name, node);
     });
     CheckReferences();
-    if (findings_->empty()) CheckGuarantees(settings_, places_, findings_);
+    if (findings_->empty()) CheckGuarantees(settings_, locations_, findings_);
     if (!findings_->empty()) return nullptr;
     return std::make_shared<const Settings>(std::move(settings_));
   }
@@ -86,7 +90,7 @@
 
   void ReadValue(const std::string& name, const YamlNode& value, KeyScope scope,
                  SettingsNode* values) {
-    places_.Note(value);
+    locations_.Record(value);
     const KeySchema* key = FindKey(name, scope);
     if (key == nullptr) {
       value.AddUnknownKey();
@@ -112,8 +116,9 @@
     const auto name = value.Identifier();
     if (!name) return;
     if (!IsPlacementName(key, *name)) {
-      value.AddFinding(absl::StrCat("no policy is called '", *name,
-                                    "'; known are cells, fifo, backfill"));
+      value.AddFinding(
+          absl::StrCat("no policy is named '", *name,
+                       "'; valid names are cells, fifo, backfill"));
       return;
     }
     values->names[key] = *name;
@@ -132,7 +137,7 @@
           value.AddUnknownKey();
         }
       });
-      if (op.token_digest.empty()) entry.AddFinding("needs token_sha256");
+      if (op.token_digest.empty()) entry.AddFinding("token_sha256 is required");
       settings_.operators.push_back(std::move(op));
     });
   }
@@ -204,7 +209,7 @@
         }
         ReadValue(key, value, KeyScope::kInherited, &settings.node);
       });
-      if (!has_kind) entry.AddFinding("needs kind: request or job");
+      if (!has_kind) entry.AddFinding("kind is required: request or job");
       CheckName(name, entry);
       settings_.classes[ClassId(name)] = std::move(settings);
     });
@@ -258,7 +263,7 @@
       workspace->classes[ClassId(name)] = std::move(values);
       Defer([this, name, entry] {
         if (settings_.classes.count(ClassId(name)) == 0) {
-          entry.AddFinding("no such class under the root's classes");
+          entry.AddFinding("no such class in the top-level classes");
         }
       });
     });
@@ -267,7 +272,7 @@
   Guarantee ReadGuarantee(const std::string& name, const YamlNode& entry) {
     Guarantee guarantee;
     guarantee.name = name;
-    places_.Note(entry);
+    locations_.Record(entry);
     entry.ForEachEntry([&](const std::string& key, const YamlNode& value) {
       if (key == "hall") {
         guarantee.hall = HallId(value.Identifier().value_or(""));
@@ -282,13 +287,14 @@
     Defer([this, guarantee, entry] {
       const auto hall = settings_.halls.find(guarantee.hall);
       if (hall == settings_.halls.end()) {
-        entry.AddFinding("needs the name of a hall under halls");
+        entry.AddFinding(
+            "hall is required and must be the name of a hall under halls");
       } else if (guarantee.accelerators >
                  hall->second.accelerators_per_worker) {
         entry.AddFinding(absl::StrCat(
             "one member needs ", guarantee.accelerators,
-            " accelerators, a worker of hall ", guarantee.hall.value(), " has ",
-            hall->second.accelerators_per_worker));
+            " accelerators, but a worker of hall ", guarantee.hall.value(),
+            " has ", hall->second.accelerators_per_worker));
       }
     });
     return guarantee;
@@ -301,33 +307,35 @@
     }
   }
 
-  /// Puts off a check until the whole tree is read.
+  /// Postpones a check until the whole tree has been read, because it refers to
+  /// entries that may come later in the text.
   void Defer(std::function<void()> check) {
     deferred_.push_back(std::move(check));
   }
 
+  /// Runs the deferred checks and those between several `system` values.
   void CheckReferences() {
     for (const std::function<void()>& check : deferred_) check();
     const SystemSettings system = settings_.System();
     if (system.hall_lease_margin >= system.hall_lease) {
-      places_.Add("system/hall_lease_margin_ms",
-                  "must be less than hall_lease_ms", findings_);
+      locations_.Add("system/hall_lease_margin_ms",
+                     "must be less than hall_lease_ms", findings_);
     }
     if (system.exchange * 2 > system.task_lease) {
-      places_.Add("system/exchange_ms",
-                  "must be at most half of task_lease_ms, so that one lost "
-                  "exchange stops nothing",
-                  findings_);
+      locations_.Add("system/exchange_ms",
+                     "must be at most half of task_lease_ms, so that one lost "
+                     "exchange does not stop any task",
+                     findings_);
     }
     if (system.heartbeat * 2 > system.suspect) {
-      places_.Add("system/heartbeat_ms", "must be at most half of suspect_ms",
-                  findings_);
+      locations_.Add("system/heartbeat_ms",
+                     "must be at most half of suspect_ms", findings_);
     }
   }
 
   Findings* findings_;
   Settings settings_;
-  YamlPlaces places_;
+  YamlLocations locations_;
   std::vector<std::function<void()>> deferred_;
 };
 
@@ -337,12 +345,12 @@
                                              Findings* findings) {
   if (text.size() > kMaxSettingsBytes) {
     findings->Add(
-        "", absl::StrCat("the settings have ", text.size(), " bytes; at most ",
-                         kMaxSettingsBytes, " are read"));
+        "", absl::StrCat("the settings have ", text.size(),
+                         " bytes; the limit is ", kMaxSettingsBytes, " bytes"));
     return nullptr;
   }
   if (text.find('\0') != std::string::npos) {
-    findings->Add("", "the settings hold a NUL byte");
+    findings->Add("", "the settings contain a NUL byte");
     return nullptr;
   }
   try {
--- a/src/settings/reader.h
+++ b/src/settings/reader.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reads a settings tree from YAML and reports every fault with its place.
+/// Reads and validates a settings tree in YAML.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,12 +15,14 @@
 
 namespace limeledge {
 
-/// Longest settings text that is read, in bytes.
+/// Maximum size of a settings text in bytes.
 inline constexpr std::size_t kMaxSettingsBytes = 1 << 20;
 
-/// Reads and checks a whole tree. `text` is YAML whose root is either the tree
-/// or a map whose key `settings` holds it (as in a process file). Returns null
-/// and adds to `findings` when anything is wrong. Safe from any thread.
+/// Reads and validates a settings tree. `text` is YAML whose root is either the
+/// tree or a map with the tree under the key `settings`, as in the
+/// configuration file of a process. Adds all errors to `findings` and returns
+/// null if there are any, also if `findings` was not empty before the call.
+/// Safe from any thread.
 std::shared_ptr<const Settings> ReadSettings(const std::string& text,
                                              Findings* findings);
 
--- a/src/settings/schema.cc
+++ b/src/settings/schema.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The table of settings keys.
+/// The schema of all settings keys.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -115,15 +115,15 @@
 std::string DocumentKey(const KeySchema& key) {
   std::string type = "whole number";
   std::string range = absl::StrCat(key.min, " to ", key.max);
-  std::string value = absl::StrCat(key.number);
+  std::string value = absl::StrCat(key.default_number);
   if (key.type == ValueType::kBool) {
     type = "true or false";
     range = "";
-    value = key.number != 0 ? "true" : "false";
+    value = key.default_number != 0 ? "true" : "false";
   } else if (key.type == ValueType::kName) {
     type = "name";
     range = "";
-    value = std::string(key.text);
+    value = std::string(key.default_text);
   }
   const char* inherited = key.scope == KeyScope::kInherited ? "yes" : "no";
   return absl::StrCat("| `", std::string(key.name), "` | ", type, " | ",
--- a/src/settings/schema.h
+++ b/src/settings/schema.h
@@ -1,5 +1,5 @@
 /// @file
-/// Every settings key: its type, unit, range and default, in one table.
+/// The schema of the settings: type, unit, range and default of each key.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,40 +14,45 @@
 
 namespace limeledge {
 
+/// Type of a settings value.
 enum class ValueType { kInteger, kBool, kName };
 
-/// Where a key may stand.
+/// Where a key is allowed.
 enum class KeyScope {
-  /// In `defaults`, a class, a workspace, or a class of a workspace.
+  /// Allowed in `defaults`, a class, a workspace, or a class of a workspace.
   kInherited,
-  /// In `system` only.
+  /// Allowed only in `system`.
   kSystem,
 };
 
-/// One key of the settings tree.
+/// Schema of one key of the settings tree.
 struct KeySchema {
   std::string_view name;
   KeyScope scope;
   ValueType type;
-  /// "ms", "rows/s", "" and so on.
+  /// Unit such as "ms" or "rows/s"; empty for plain numbers, names and
+  /// booleans.
   std::string_view unit;
-  /// Bounds of integers.
+  /// Smallest and largest allowed value of an integer.
   std::int64_t min;
   std::int64_t max;
-  /// Default of integers and booleans (0 or 1).
-  std::int64_t number;
-  /// Default of names.
-  std::string_view text;
+  /// Default of an integer, or of a boolean as 0 or 1.
+  std::int64_t default_number;
+  /// Default of a name.
+  std::string_view default_text;
+  /// Description for users, as in docs/SETTINGS.md.
   std::string_view help;
 };
 
-/// All keys, in the order in which docs/SETTINGS.md lists them.
+/// Returns all keys in the order of docs/SETTINGS.md. Safe from any thread.
 const std::vector<KeySchema>& AllKeys();
 
-/// The key's line in docs/SETTINGS.md. Safe from any thread.
+/// Returns the key's row in the Markdown table of docs/SETTINGS.md. Safe from
+/// any thread.
 std::string DocumentKey(const KeySchema& key);
 
-/// Returns the key, or null when there is none of that name and scope.
+/// Returns the key with this name and scope, or null if there is none. Safe
+/// from any thread.
 const KeySchema* FindKey(std::string_view name, KeyScope scope);
 
 }  // namespace limeledge
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Inheritance of settings values.
+/// Lookup and inheritance of settings values.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,7 +14,7 @@
 
 namespace limeledge {
 
-/// A node on the way from a class of a workspace up to `defaults`.
+/// A node in which values are looked up, with its path.
 struct Settings::Layer {
   std::string path;
   const SettingsNode* node;
@@ -27,19 +27,20 @@
 std::int64_t SystemNumber(const SettingsNode& node, std::string_view name) {
   const auto it = node.numbers.find(name);
   if (it != node.numbers.end()) return it->second;
-  return FindKey(name, KeyScope::kSystem)->number;
+  return FindKey(name, KeyScope::kSystem)->default_number;
 }
 
 Duration SystemMs(const SettingsNode& node, std::string_view name) {
   return Duration(SystemNumber(node, name));
 }
 
-std::string Printed(const KeySchema& key, std::int64_t number) {
+std::string FormatValue(const KeySchema& key, std::int64_t number) {
   if (key.type == ValueType::kBool) return number != 0 ? "true" : "false";
   return absl::StrCat(number);
 }
 
-/// The names in "workspaces/W/classes/C" and its shorter forms.
+/// A parsed path of the form "defaults", "classes/C", "workspaces/W" or
+/// "workspaces/W/classes/C". Names that are not in the path are empty.
 struct NodePath {
   bool valid = false;
   WorkspaceId workspace;
@@ -121,14 +122,14 @@
       const auto it = layer.node->numbers.find(name);
       if (it != layer.node->numbers.end()) return it->second;
     }
-    return FindKey(name, KeyScope::kInherited)->number;
+    return FindKey(name, KeyScope::kInherited)->default_number;
   };
   const auto text = [&layers](std::string_view name) {
     for (const Layer& layer : layers) {
       const auto it = layer.node->names.find(name);
       if (it != layer.node->names.end()) return it->second;
     }
-    return std::string(FindKey(name, KeyScope::kInherited)->text);
+    return std::string(FindKey(name, KeyScope::kInherited)->default_text);
   };
   EffectiveSettings result;
   result.placement = text("placement");
@@ -159,14 +160,15 @@
   std::vector<EffectiveValue> values;
   for (const KeySchema& key : AllKeys()) {
     if (key.scope != KeyScope::kInherited) continue;
-    EffectiveValue value{std::string(key.name), std::string(key.text),
+    EffectiveValue value{std::string(key.name), std::string(key.default_text),
                          kBuiltIn};
-    if (key.type != ValueType::kName) value.value = Printed(key, key.number);
+    if (key.type != ValueType::kName)
+      value.value = FormatValue(key, key.default_number);
     for (const Layer& layer : layers) {
       const auto number = layer.node->numbers.find(key.name);
       const auto name = layer.node->names.find(key.name);
       if (number != layer.node->numbers.end()) {
-        value.value = Printed(key, number->second);
+        value.value = FormatValue(key, number->second);
       } else if (name != layer.node->names.end()) {
         value.value = name->second;
       } else {
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// The settings tree: checked values, inheritance, and where they come from.
+/// The validated settings tree and the inheritance of its values.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,24 +18,28 @@
 
 namespace limeledge {
 
-/// Raw values of one node, by key name. Booleans are 0 or 1.
+/// Values that are set at one node of the tree, by key. Keys that are not set
+/// are inherited.
 struct SettingsNode {
+  /// Values of integers, and of booleans as 0 or 1.
   std::map<std::string, std::int64_t, std::less<>> numbers;
   std::map<std::string, std::string, std::less<>> names;
 };
 
-/// Accelerators that a workspace can always get back in one hall.
+/// Capacity that a workspace is entitled to in one hall. Other workspaces may
+/// borrow it, but must return it on demand.
 struct Guarantee {
   std::string name;
   HallId hall;
   int members = 1;
-  /// Accelerators of each member, on one worker.
+  /// Accelerators of each member, all on one worker.
   int accelerators = 1;
 
+  /// Accelerators of all members together.
   int total() const { return members * accelerators; }
 };
 
-/// Declared size of a hall; guarantees are checked against it.
+/// Declared capacity of a hall. Guarantees must fit into it.
 struct HallSettings {
   std::string region;
   int racks = 1;
@@ -44,44 +48,52 @@
   int cores_per_worker = 1;
   std::int64_t memory_mb_per_worker = 0;
 
+  /// Accelerators of all workers together.
   int accelerators() const {
     return racks * workers_per_rack * accelerators_per_worker;
   }
 };
 
+/// Settings of one workspace.
 struct WorkspaceSettings {
   SettingsNode node;
-  /// Lower-case hex SHA-256 of each accepted token.
+  /// SHA-256 of each accepted token, in lower-case hexadecimal.
   std::vector<std::string> token_digests;
   std::vector<Guarantee> guarantees;
+  /// Values that apply only to one class in this workspace.
   std::map<ClassId, SettingsNode> classes;
 };
 
+/// Access rights of an operator.
 enum class OperatorRole { kViewer, kAdmin };
 
+/// An operator account.
 struct OperatorSettings {
   std::string name;
   OperatorRole role = OperatorRole::kViewer;
+  /// SHA-256 of the operator's token, in lower-case hexadecimal.
   std::string token_digest;
 };
 
-/// Kinds of work that a class may be for.
+/// The kind of work that a class is for.
 enum class ClassKind { kRequest, kJob };
 
+/// Settings of one class.
 struct ClassSettings {
   ClassKind kind = ClassKind::kJob;
   SettingsNode node;
 };
 
-/// One inherited value and the node that it comes from.
+/// The effective value of one key and the node where it is set.
 struct EffectiveValue {
   std::string key;
   std::string value;
-  /// Path such as "workspaces/bridges", or "built-in".
+  /// Path of the node, such as "workspaces/bridges", or "built-in".
   std::string origin;
 };
 
-/// The inherited values of one workspace and class.
+/// The effective values for one workspace and class. The keys are described in
+/// `AllKeys`.
 struct EffectiveSettings {
   std::string placement;
   std::string shadow_placement;
@@ -99,7 +111,8 @@
   bool borrow = true;
 };
 
-/// Values of `system`, the same for all workspaces.
+/// Values of `system`, which apply to all workspaces. The keys are described in
+/// `AllKeys`.
 struct SystemSettings {
   Duration hall_lease;
   Duration hall_lease_margin;
@@ -120,11 +133,12 @@
   Duration stop_grace;
 };
 
-/// A whole, checked tree. Immutable after it was read, and so safe to share.
+/// A complete, validated settings tree. It does not change after it was read
+/// and may therefore be shared between threads.
 ///
-/// A value of a workspace's class is looked up in that class of the
-/// workspace, then the workspace, then the class, then `defaults`, then the
-/// built-in default.
+/// The value of a key for a workspace and a class comes from the first of these
+/// nodes that sets it: the class within the workspace, the workspace, the
+/// class, `defaults`. If none sets it, the built-in default applies.
 class Settings {
  public:
   std::vector<OperatorSettings> operators;
@@ -134,20 +148,23 @@
   std::map<ClassId, ClassSettings> classes;
   std::map<WorkspaceId, WorkspaceSettings> workspaces;
 
-  /// Typed `system` values.
+  /// Returns the `system` values, with built-in defaults for keys that are not
+  /// set.
   SystemSettings System() const;
 
-  /// Typed values for a workspace and class; unknown ones inherit.
+  /// Returns the effective values for a workspace and class. An unknown
+  /// workspace or class is treated as one that sets no values.
   EffectiveSettings Effective(const WorkspaceId& workspace,
                               const ClassId& job_class) const;
 
-  /// Every inherited key with its value and the node it comes from, for
-  /// "defaults", "classes/C", "workspaces/W" or "workspaces/W/classes/C".
-  /// Empty when the path names no node.
+  /// Returns the effective value of every inheritable key at the node `path`,
+  /// which is "defaults", "classes/C", "workspaces/W" or
+  /// "workspaces/W/classes/C". Returns nothing if there is no such node.
   std::vector<EffectiveValue> Explain(const std::string& path) const;
 
  private:
   struct Layer;
+  /// Returns the nodes in which values are looked up, the most specific first.
   std::vector<Layer> Layers(const WorkspaceId& workspace,
                             const ClassId& job_class) const;
 };
--- a/src/settings/yaml_node.cc
+++ b/src/settings/yaml_node.cc
@@ -1,5 +1,5 @@
 /// @file
-/// YAML node reading.
+/// Implementation of the typed access to YAML nodes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -40,7 +40,7 @@
     const YamlNode child(entry.second, ChildPath(path_, name), findings_);
     if (!seen.insert(name).second) {
       YamlNode(entry.first, ChildPath(path_, name), findings_)
-          .AddFinding("the key stands twice");
+          .AddFinding("the key appears twice");
       continue;
     }
     visit(name, child);
@@ -69,7 +69,8 @@
     return std::nullopt;
   }
   if (value < min || value > max) {
-    AddFinding(absl::StrCat("must be from ", min, " to ", max, ", is ", value));
+    AddFinding(
+        absl::StrCat("must be from ", min, " to ", max, ", but is ", value));
     return std::nullopt;
   }
   return value;
@@ -98,12 +99,12 @@
   return node_.Scalar();
 }
 
-void YamlPlaces::Note(const YamlNode& node) {
+void YamlLocations::Record(const YamlNode& node) {
   nodes_.emplace(node.path(), node);
 }
 
-void YamlPlaces::Add(const std::string& path, const std::string& message,
-                     Findings* findings) const {
+void YamlLocations::Add(const std::string& path, const std::string& message,
+                        Findings* findings) const {
   const auto it = nodes_.find(path);
   if (it == nodes_.end()) {
     findings->Add(path, message);
--- a/src/settings/yaml_node.h
+++ b/src/settings/yaml_node.h
@@ -1,5 +1,5 @@
 /// @file
-/// Helpers that read YAML nodes and collect findings.
+/// Typed access to YAML nodes that reports errors as findings.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -19,7 +19,8 @@
 
 namespace limeledge {
 
-/// A YAML node together with its path and the place for findings.
+/// A YAML node with its path in the document. Errors are added to `findings`
+/// with the node's path and position.
 ///
 /// Thread safety: none; use it from one thread.
 class YamlNode {
@@ -27,23 +28,31 @@
   YamlNode(const YAML::Node& node, std::string path, Findings* findings)
       : node_(node), path_(std::move(path)), findings_(findings) {}
 
-  /// Calls `visit(name, child)` for each entry. A node that is no map, a key
-  /// that is no plain text and a repeated key are findings.
+  /// Calls `visit(name, child)` for each entry of a map; a null node counts as
+  /// an empty map. Adds a finding if the node is not a map, and for each key
+  /// that is not a scalar or is a duplicate.
   void ForEachEntry(const std::function<void(const std::string&,
                                              const YamlNode&)>& visit) const;
-  /// Calls `visit(child)` for each element. A node that is no list is a
-  /// finding.
+  /// Calls `visit(child)` for each element of a list; a null node counts as an
+  /// empty list. Adds a finding if the node is not a list.
   void ForEachElement(const std::function<void(const YamlNode&)>& visit) const;
 
-  /// Reads a value; nothing, and a finding, when it is of another type or out
-  /// of [min, max].
+  /// Returns the value as an integer. If it is not an integer in [min, max],
+  /// adds a finding and returns nothing.
   std::optional<std::int64_t> Integer(std::int64_t min, std::int64_t max) const;
+  /// Returns the value as a boolean. If it is neither `true` nor `false`, adds
+  /// a finding and returns nothing.
   std::optional<bool> Bool() const;
+  /// Returns the value as text. If it is not a scalar or is empty, adds a
+  /// finding and returns nothing.
   std::optional<std::string> Text() const;
-  /// Text of letters, digits, '-', '_' and '.', at most 64 bytes.
+  /// Returns the value as an identifier: at most 64 letters, digits, '-', '_'
+  /// or '.'. For any other value, adds a finding and returns nothing.
   std::optional<std::string> Identifier() const;
 
+  /// Adds a finding with the path and position of this node.
   void AddFinding(const std::string& message) const;
+  /// Adds the finding that the key of this node is unknown.
   void AddUnknownKey() const { AddFinding("unknown key"); }
 
   const std::string& path() const { return path_; }
@@ -55,13 +64,15 @@
   Findings* findings_;
 };
 
-/// Remembers where nodes stand, for checks that come after the reading.
+/// Maps paths to nodes, so that checks after reading can report positions.
 ///
 /// Thread safety: none; use it from one thread.
-class YamlPlaces {
+class YamlLocations {
  public:
-  void Note(const YamlNode& node);
-  /// Adds a finding at the place of `path`, or without one if it was not seen.
+  /// Records the node under its path. A path that is already known is kept.
+  void Record(const YamlNode& node);
+  /// Adds a finding with the position of the node at `path`, or without a
+  /// position if no such node was recorded.
   void Add(const std::string& path, const std::string& message,
            Findings* findings) const;
 
--- a/test/settings-reader-test.cc
+++ b/test/settings-reader-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of reading and checking the settings tree.
+/// Tests of reading and validating the settings tree.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -29,7 +29,7 @@
   }
 };
 
-TEST(SettingsReader, ValuesAreInheritedFromTheNearestNode) {
+TEST(SettingsReader, ValuesAreInheritedFromTheMostSpecificNode) {
   const auto settings = Read(R"(
 defaults: {priority: 7, weight: 3}
 classes:
@@ -47,7 +47,7 @@
   LONGS_EQUAL(7, settings->Effective(WorkspaceId("x"), ClassId("y")).priority);
 }
 
-TEST(SettingsReader, ExplainNamesTheNodeOfEveryValue) {
+TEST(SettingsReader, ExplainReportsTheNodeThatSetsEachValue) {
   const auto settings = Read(R"(
 defaults: {weight: 3}
 classes: {c: {kind: job, priority: 6}}
@@ -65,7 +65,7 @@
   CHECK_TRUE(settings->Explain("workspaces/nobody").empty());
 }
 
-TEST(SettingsReader, EveryFaultIsFoundWithItsPlace) {
+TEST(SettingsReader, EveryErrorIsReportedWithItsPosition) {
   CHECK_TRUE(Read(R"(defaults:
   weight: 0
   colour: red
@@ -84,12 +84,12 @@
   CHECK_TRUE(Finds("nonsense", 9, "unknown key"));
 }
 
-TEST(SettingsReader, RepeatedKeyIsAFinding) {
+TEST(SettingsReader, DuplicateKeyIsReported) {
   CHECK_TRUE(Read("defaults:\n  weight: 1\n  weight: 2\n") == nullptr);
   CHECK_TRUE(Finds("defaults/weight", 3, "twice"));
 }
 
-TEST(SettingsReader, GuaranteesThatDoNotFitTogetherAreRefused) {
+TEST(SettingsReader, GuaranteesThatExceedAHallAreRejected) {
   CHECK_TRUE(Read(R"(halls:
   h: {racks: 1, workers_per_rack: 2, accelerators_per_worker: 8}
 workspaces:
@@ -103,7 +103,7 @@
   CHECK_TRUE(Finds("workspaces/b/guarantees/g", 9, "do not fit"));
 }
 
-TEST(SettingsReader, GuaranteeNeedsAHallAndAWorkerThatCanHoldIt) {
+TEST(SettingsReader, GuaranteeNeedsAHallWithLargeEnoughWorkers) {
   CHECK_TRUE(Read(R"(halls:
   h: {racks: 1, workers_per_rack: 2, accelerators_per_worker: 4}
 workspaces:
@@ -121,7 +121,7 @@
   CHECK_TRUE(Finds("workspaces/a/classes/c", 1, "no such class"));
 }
 
-TEST(SettingsReader, LeasesMustLeaveRoomForALostMessage) {
+TEST(SettingsReader, LeasesMustAllowForALostMessage) {
   CHECK_TRUE(Read(R"(system:
   task_lease_ms: 1000
   exchange_ms: 600
@@ -132,7 +132,7 @@
   CHECK_TRUE(Finds("system/hall_lease_margin_ms", 5, "less than"));
 }
 
-TEST(SettingsReader, BrokenTextIsRefusedWithItsPlace) {
+TEST(SettingsReader, MalformedTextIsRejectedWithItsPosition) {
   CHECK_TRUE(Read("defaults: [1, 2\nx: }") == nullptr);
   CHECK_TRUE(findings.all().front().line > 0);
   CHECK_TRUE(Read("just text") == nullptr);
