--- a/include/limeledge/commit_queue.h
+++ b/include/limeledge/commit_queue.h
@@ -83,7 +83,7 @@
 /// if it fails, the value of the fence row tells which write was applied.
 ///
 ///     queue.Push(intent);
-///     if (auto tx = queue.Next(now)) Send(*tx);
+///     if (auto tx = queue.Next(now, budget)) Send(*tx);
 ///     for (const IntentResult& r : queue.OnReply(now, reply)) Handle(r);
 ///
 /// Thread safety: none; use it from one thread.
