--- a/include/limeledge/membership.h
+++ b/include/limeledge/membership.h
@@ -96,11 +96,11 @@
   struct Entry {
     bool listed = false;
     bool listed_leaving = false;
-    bool heard_leaving = false;
-    bool heard = false;
+    bool heartbeat_leaving = false;
+    bool heartbeat_received = false;
     std::int64_t incarnation = 0;
     TimePoint listed_at;
-    TimePoint heard_at;
+    TimePoint last_heartbeat_at;
   };
 
   MemberState StateOfEntry(TimePoint now, const Entry& entry) const;
--- a/include/limeledge/ownership.h
+++ b/include/limeledge/ownership.h
@@ -59,7 +59,7 @@
 /// conditional on it. The lease only avoids wasted work by two instances at the
 /// same time.
 ///
-///     switch (ownership.Decide(now, preferred)) { ... }
+///     switch (ownership.Decide(now, preferred, stopping)) { ... }
 ///     ownership.OnWritten(sent_at, record);
 ///     if (ownership.HoldsAt(now)) Plan(ownership.record().epoch);
 ///
--- a/src/membership.cc
+++ b/src/membership.cc
@@ -53,11 +53,11 @@
   if (id == self_) return;
   Entry& entry = entries_[id];
   if (incarnation < entry.incarnation) return;
-  if (incarnation > entry.incarnation) entry.heard_leaving = false;
+  if (incarnation > entry.incarnation) entry.heartbeat_leaving = false;
   entry.incarnation = incarnation;
-  entry.heard_leaving = entry.heard_leaving || leaving;
-  entry.heard = true;
-  entry.heard_at = now;
+  entry.heartbeat_leaving = entry.heartbeat_leaving || leaving;
+  entry.heartbeat_received = true;
+  entry.last_heartbeat_at = now;
 }
 
 MemberState Membership::StateOf(TimePoint now, const InstanceId& id) const {
@@ -83,11 +83,13 @@
   std::vector<InstanceId> serving = {self_};
   for (const auto& [id, entry] : entries_) {
     const MemberState state = StateOfEntry(now, entry);
-    const bool recently_heard =
-        entry.heard && now - entry.heard_at < options_.suspect_after;
-    const bool leaving_and_heard =
-        state == MemberState::kLeaving && recently_heard;
-    if (state == MemberState::kLive || leaving_and_heard) serving.push_back(id);
+    const bool has_recent_heartbeat =
+        entry.heartbeat_received &&
+        now - entry.last_heartbeat_at < options_.suspect_after;
+    const bool leaving_but_reachable =
+        state == MemberState::kLeaving && has_recent_heartbeat;
+    if (state == MemberState::kLive || leaving_but_reachable)
+      serving.push_back(id);
   }
   std::sort(serving.begin(), serving.end());
   return serving;
@@ -101,14 +103,16 @@
 }
 
 MemberState Membership::StateOfEntry(TimePoint now, const Entry& entry) const {
-  const bool recently_heard =
-      entry.heard && now - entry.heard_at < options_.suspect_after;
-  const bool newly_listed = entry.listed && !entry.heard &&
+  const bool has_recent_heartbeat =
+      entry.heartbeat_received &&
+      now - entry.last_heartbeat_at < options_.suspect_after;
+  const bool newly_listed = entry.listed && !entry.heartbeat_received &&
                             now - entry.listed_at < options_.listing_grace;
-  if (!entry.listed && !recently_heard) return MemberState::kGone;
-  if (entry.listed_leaving || entry.heard_leaving) return MemberState::kLeaving;
-  return recently_heard || newly_listed ? MemberState::kLive
-                                        : MemberState::kSuspect;
+  if (!entry.listed && !has_recent_heartbeat) return MemberState::kGone;
+  if (entry.listed_leaving || entry.heartbeat_leaving)
+    return MemberState::kLeaving;
+  return has_recent_heartbeat || newly_listed ? MemberState::kLive
+                                              : MemberState::kSuspect;
 }
 
 }  // namespace limeledge
--- a/src/settings/guarantee_check.cc
+++ b/src/settings/guarantee_check.cc
@@ -83,18 +83,18 @@
 /// Returns the guarantees of all workspaces in a hall, largest members first.
 std::vector<WorkspaceGuarantee> GuaranteesOf(const Settings& settings,
                                              const HallId& hall) {
-  std::vector<WorkspaceGuarantee> held;
+  std::vector<WorkspaceGuarantee> in_hall;
   for (const auto& [id, workspace] : settings.workspaces) {
     for (const Guarantee& guarantee : workspace.guarantees) {
-      if (guarantee.hall == hall) held.push_back({id, &guarantee});
+      if (guarantee.hall == hall) in_hall.push_back({id, &guarantee});
     }
   }
   std::stable_sort(
-      held.begin(), held.end(),
+      in_hall.begin(), in_hall.end(),
       [](const WorkspaceGuarantee& a, const WorkspaceGuarantee& b) {
         return a.guarantee->accelerators > b.guarantee->accelerators;
       });
-  return held;
+  return in_hall;
 }
 
 }  // namespace
@@ -103,13 +103,13 @@
                      Findings* findings) {
   for (const auto& [id, hall] : settings.halls) {
     HallPacker packer(hall);
-    for (const WorkspaceGuarantee& held : GuaranteesOf(settings, id)) {
-      if (packer.Add(*held.guarantee)) continue;
+    for (const WorkspaceGuarantee& item : GuaranteesOf(settings, id)) {
+      if (packer.Add(*item.guarantee)) continue;
       locations.Add(
-          absl::StrCat("workspaces/", held.workspace.value(), "/guarantees/",
-                       held.guarantee->name),
-          absl::StrCat(held.guarantee->members, " x ",
-                       held.guarantee->accelerators,
+          absl::StrCat("workspaces/", item.workspace.value(), "/guarantees/",
+                       item.guarantee->name),
+          absl::StrCat(item.guarantee->members, " x ",
+                       item.guarantee->accelerators,
                        " accelerators do not fit into hall ", id.value(),
                        " together with the other guarantees (the hall has ",
                        hall.accelerators(), " in total)"),
