--- a/include/limeledge/commit_queue.h
+++ b/include/limeledge/commit_queue.h
@@ -49,8 +49,8 @@
   kConflict,
   /// The intent was not sent, or the store certainly did not apply it.
   kNotWritten,
-  /// A reply was lost and the fence row was deleted, so it is unknown whether
-  /// the writes were applied.
+  /// The fence row was deleted, so the outcome of the transaction could not be
+  /// determined.
   kUnknown,
 };
 
