--- a/include/limeledge/membership.h
+++ b/include/limeledge/membership.h
@@ -96,7 +96,7 @@
   struct Entry {
     bool listed = false;
     bool listed_leaving = false;
-    bool heartbeat_leaving = false;
+    bool sent_leaving = false;
     bool heartbeat_received = false;
     std::int64_t incarnation = 0;
     TimePoint listed_at;
--- a/src/membership.cc
+++ b/src/membership.cc
@@ -53,9 +53,9 @@
   if (id == self_) return;
   Entry& entry = entries_[id];
   if (incarnation < entry.incarnation) return;
-  if (incarnation > entry.incarnation) entry.heartbeat_leaving = false;
+  if (incarnation > entry.incarnation) entry.sent_leaving = false;
   entry.incarnation = incarnation;
-  entry.heartbeat_leaving = entry.heartbeat_leaving || leaving;
+  entry.sent_leaving = entry.sent_leaving || leaving;
   entry.heartbeat_received = true;
   entry.last_heartbeat_at = now;
 }
@@ -86,10 +86,9 @@
     const bool has_recent_heartbeat =
         entry.heartbeat_received &&
         now - entry.last_heartbeat_at < options_.suspect_after;
-    const bool leaving_but_reachable =
+    const bool still_serving =
         state == MemberState::kLeaving && has_recent_heartbeat;
-    if (state == MemberState::kLive || leaving_but_reachable)
-      serving.push_back(id);
+    if (state == MemberState::kLive || still_serving) serving.push_back(id);
   }
   std::sort(serving.begin(), serving.end());
   return serving;
@@ -109,8 +108,7 @@
   const bool newly_listed = entry.listed && !entry.heartbeat_received &&
                             now - entry.listed_at < options_.listing_grace;
   if (!entry.listed && !has_recent_heartbeat) return MemberState::kGone;
-  if (entry.listed_leaving || entry.heartbeat_leaving)
-    return MemberState::kLeaving;
+  if (entry.listed_leaving || entry.sent_leaving) return MemberState::kLeaving;
   return has_recent_heartbeat || newly_listed ? MemberState::kLive
                                               : MemberState::kSuspect;
 }
--- a/src/settings/schema.cc
+++ b/src/settings/schema.cc
@@ -115,11 +115,11 @@
 std::string DocumentKey(const KeySchema& key) {
   std::string type = "whole number";
   std::string range = absl::StrCat(key.min, " to ", key.max);
-  std::string value = absl::StrCat(key.default_number);
+  std::string value = absl::StrCat(key.default_int);
   if (key.type == ValueType::kBool) {
     type = "true or false";
     range = "";
-    value = key.default_number != 0 ? "true" : "false";
+    value = key.default_int != 0 ? "true" : "false";
   } else if (key.type == ValueType::kName) {
     type = "name";
     range = "";
--- a/src/settings/schema.h
+++ b/src/settings/schema.h
@@ -37,7 +37,7 @@
   std::int64_t min;
   std::int64_t max;
   /// Default of an integer, or of a boolean as 0 or 1.
-  std::int64_t default_number;
+  std::int64_t default_int;
   /// Default of a name.
   std::string_view default_text;
   /// Description for users, as in docs/SETTINGS.md.
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -27,14 +27,14 @@
 std::int64_t SystemNumber(const SettingsNode& node, std::string_view name) {
   const auto it = node.numbers.find(name);
   if (it != node.numbers.end()) return it->second;
-  return FindKey(name, KeyScope::kSystem)->default_number;
+  return FindKey(name, KeyScope::kSystem)->default_int;
 }
 
 Duration SystemMs(const SettingsNode& node, std::string_view name) {
   return Duration(SystemNumber(node, name));
 }
 
-std::string FormatValue(const KeySchema& key, std::int64_t number) {
+std::string Format(const KeySchema& key, std::int64_t number) {
   if (key.type == ValueType::kBool) return number != 0 ? "true" : "false";
   return absl::StrCat(number);
 }
@@ -122,7 +122,7 @@
       const auto it = layer.node->numbers.find(name);
       if (it != layer.node->numbers.end()) return it->second;
     }
-    return FindKey(name, KeyScope::kInherited)->default_number;
+    return FindKey(name, KeyScope::kInherited)->default_int;
   };
   const auto text = [&layers](std::string_view name) {
     for (const Layer& layer : layers) {
@@ -160,24 +160,23 @@
   std::vector<EffectiveValue> values;
   for (const KeySchema& key : AllKeys()) {
     if (key.scope != KeyScope::kInherited) continue;
-    EffectiveValue value{std::string(key.name), std::string(key.default_text),
-                         kBuiltIn};
-    if (key.type != ValueType::kName)
-      value.value = FormatValue(key, key.default_number);
+    EffectiveValue item{std::string(key.name), std::string(key.default_text),
+                        kBuiltIn};
+    if (key.type != ValueType::kName) item.value = Format(key, key.default_int);
     for (const Layer& layer : layers) {
       const auto number = layer.node->numbers.find(key.name);
       const auto name = layer.node->names.find(key.name);
       if (number != layer.node->numbers.end()) {
-        value.value = FormatValue(key, number->second);
+        item.value = Format(key, number->second);
       } else if (name != layer.node->names.end()) {
-        value.value = name->second;
+        item.value = name->second;
       } else {
         continue;
       }
-      value.origin = layer.path;
+      item.origin = layer.path;
       break;
     }
-    values.push_back(std::move(value));
+    values.push_back(std::move(item));
   }
   return values;
 }
