--- a/test/ownership-test.cc
+++ b/test/ownership-test.cc
@@ -75,7 +75,7 @@
   CHECK_TRUE(Decides(OwnershipAction::kRenew, TimePoint(50000), true));
 }
 
-TEST(Ownership, NewerEpochEndsTheOwnership) {
+TEST(Ownership, NewerEpochEndsTheOwnershipPermanently) {
   Claim(TimePoint(0));
   ownership.OnRead(TimePoint(10), Record(2, "e2", 1, 900, 0));
   CHECK_FALSE(ownership.HoldsAt(TimePoint(11)));
