--- a/src/net/call_lane.cc
+++ b/src/net/call_lane.cc
@@ -1,5 +1,5 @@
 /// @file
-/// One call after the other.
+/// Implementation of `CallLane`.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -10,30 +10,30 @@
 
 namespace limeledge {
 
-void CallLane::Run(Begin begin) {
+void CallLane::Run(StartCall start) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (busy_) {
-      waiting_.push_back(std::move(begin));
+      queue_.push_back(std::move(start));
       return;
     }
     busy_ = true;
   }
-  begin([this] { Next(); });
+  start([this] { StartNext(); });
 }
 
-void CallLane::Next() {
-  Begin begin;
+void CallLane::StartNext() {
+  StartCall start;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (waiting_.empty()) {
+    if (queue_.empty()) {
       busy_ = false;
       return;
     }
-    begin = std::move(waiting_.front());
-    waiting_.pop_front();
+    start = std::move(queue_.front());
+    queue_.pop_front();
   }
-  begin([this] { Next(); });
+  start([this] { StartNext(); });
 }
 
 }  // namespace limeledge
--- a/src/net/call_lane.h
+++ b/src/net/call_lane.h
@@ -1,5 +1,5 @@
 /// @file
-/// Calls that wait for each other.
+/// A queue that runs asynchronous calls one at a time.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,28 +13,29 @@
 
 namespace limeledge {
 
-/// Begins one call at a time, in the order in which they were given. Needs no
-/// thread: the next call begins on the thread that finishes the last one.
+/// Runs asynchronous calls one at a time, in the order of `Run`. The queue has
+/// no thread of its own: each call starts on the thread that finished the
+/// previous one.
 ///
-/// Thread safety: all methods from any thread.
+/// Thread safety: all methods may be called from any thread.
 class CallLane {
  public:
-  /// Tells the lane that a call is over; to be called once for each call.
+  /// Reports that a call has finished. Must be called exactly once per call.
   using Finished = std::function<void()>;
-  /// Begins a call; must not block.
-  using Begin = std::function<void(Finished)>;
+  /// Starts a call. Must not block.
+  using StartCall = std::function<void(Finished)>;
 
-  /// Begins a call, now or after those that were given before. The lane must
-  /// outlive all calls.
-  void Run(Begin begin);
+  /// Starts a call immediately if the lane is idle, and queues it otherwise.
+  /// The lane must outlive all calls.
+  void Run(StartCall start);
 
  private:
-  /// Begins the next call, if there is one.
-  void Next();
+  /// Starts the next queued call, or marks the lane idle.
+  void StartNext();
 
   std::mutex mutex_;
   bool busy_ = false;
-  std::deque<Begin> waiting_;
+  std::deque<StartCall> queue_;
 };
 
 }  // namespace limeledge
--- a/test/call-lane-test.cc
+++ b/test/call-lane-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of calls that wait for each other.
+/// Tests of `CallLane`, which runs calls one at a time.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,42 +14,42 @@
 
 TEST_GROUP(CallLane) {
   CallLane lane;
-  std::vector<int> begun;
-  std::vector<CallLane::Finished> under_way;
+  std::vector<int> started;
+  std::vector<CallLane::Finished> running;
 
   void Run(int number) {
     lane.Run([this, number](CallLane::Finished finished) {
-      begun.push_back(number);
-      under_way.push_back(std::move(finished));
+      started.push_back(number);
+      running.push_back(std::move(finished));
     });
   }
 };
 
-TEST(CallLane, FirstCallBeginsAtOnce) {
+TEST(CallLane, FirstCallStartsImmediately) {
   Run(1);
-  LONGS_EQUAL(1, begun.size());
+  LONGS_EQUAL(1, started.size());
 }
 
-TEST(CallLane, NextCallBeginsWhenTheLastIsFinished) {
+TEST(CallLane, NextCallStartsWhenThePreviousOneFinishes) {
   Run(1);
   Run(2);
-  LONGS_EQUAL(1, begun.size());
-  under_way[0]();
-  LONGS_EQUAL(2, begun.size());
+  LONGS_EQUAL(1, started.size());
+  running[0]();
+  LONGS_EQUAL(2, started.size());
 }
 
-TEST(CallLane, CallsBeginInTheirOrder) {
+TEST(CallLane, CallsStartInOrder) {
   for (const int number : {1, 2, 3}) Run(number);
-  under_way[0]();
-  under_way[1]();
-  CHECK((begun == std::vector<int>{1, 2, 3}));
+  running[0]();
+  running[1]();
+  CHECK((started == std::vector<int>{1, 2, 3}));
 }
 
-TEST(CallLane, IdleLaneBeginsTheNextCallAtOnce) {
+TEST(CallLane, IdleLaneStartsTheNextCallImmediately) {
   Run(1);
-  under_way[0]();
+  running[0]();
   Run(2);
-  LONGS_EQUAL(2, begun.size());
+  LONGS_EQUAL(2, started.size());
 }
 
 }  // namespace limeledge
