--- a/src/net/elastic_pool.cc
+++ b/src/net/elastic_pool.cc
@@ -1,5 +1,5 @@
 /// @file
-/// A pool whose threads come and go.
+/// Implementation of `ElasticPool`.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,8 +14,8 @@
 
 namespace limeledge {
 
-ElasticPool::ElasticPool(std::size_t most_threads, Duration idle)
-    : most_threads_(most_threads), idle_(idle) {
+ElasticPool::ElasticPool(std::size_t max_threads, Duration idle_timeout)
+    : max_threads_(max_threads), idle_timeout_(idle_timeout) {
   const std::lock_guard<std::mutex> lock(mutex_);
   AddThread();
 }
@@ -26,7 +26,7 @@
   threads_.emplace_back();
   const auto self = std::prev(threads_.end());
   try {
-    *self = std::thread([this, self] { Serve(self); });
+    *self = std::thread([this, self] { RunTasks(self); });
   } catch (const std::system_error&) {
     threads_.erase(self);
     throw;
@@ -35,50 +35,53 @@
 
 void ElasticPool::enqueue(std::function<void()> task) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  JoinEnded();
+  JoinEndedThreads();
   tasks_.push_back(std::move(task));
-  const bool needs_thread = tasks_.size() > waiting_;
-  if (needs_thread && threads_.size() < most_threads_) {
+  const bool needs_thread = tasks_.size() > idle_threads_;
+  if (needs_thread && threads_.size() < max_threads_) {
     try {
       AddThread();
     } catch (const std::system_error& error) {
-      // The task waits for one of the threads that are there.
-      std::fprintf(stderr, "no further thread for calls: %s\n", error.what());
+      // An existing thread runs the task later.
+      std::fprintf(stderr, "cannot start another thread for calls: %s\n",
+                   error.what());
     }
   }
   changed_.notify_one();
 }
 
-std::function<void()> ElasticPool::Next(std::unique_lock<std::mutex>* lock) {
-  const std::chrono::milliseconds idle(idle_.ms());
+std::function<void()> ElasticPool::NextTask(
+    std::unique_lock<std::mutex>* lock) {
+  const std::chrono::milliseconds idle_timeout(idle_timeout_.ms());
   while (tasks_.empty()) {
     if (stopping_) return nullptr;
-    ++waiting_;
-    const std::cv_status status = changed_.wait_for(*lock, idle);
-    --waiting_;
-    const bool idled = status == std::cv_status::timeout && tasks_.empty();
-    if (idled && threads_.size() > 1) return nullptr;
+    ++idle_threads_;
+    const std::cv_status status = changed_.wait_for(*lock, idle_timeout);
+    --idle_threads_;
+    const bool timed_out = status == std::cv_status::timeout && tasks_.empty();
+    if (timed_out && threads_.size() > 1) return nullptr;
   }
   std::function<void()> task = std::move(tasks_.front());
   tasks_.pop_front();
   return task;
 }
 
-void ElasticPool::Serve(Threads::iterator self) {
+void ElasticPool::RunTasks(Threads::iterator self) {
   std::unique_lock<std::mutex> lock(mutex_);
-  while (const std::function<void()> task = Next(&lock)) {
+  while (const std::function<void()> task = NextTask(&lock)) {
     lock.unlock();
     task();
     lock.lock();
   }
-  // The one who joins it waits only for its last instructions.
-  ended_.splice(ended_.end(), threads_, self);
+  // Moved to `ended_threads_` under the lock, so a thread that joins this one
+  // waits only until it has returned.
+  ended_threads_.splice(ended_threads_.end(), threads_, self);
   changed_.notify_all();
 }
 
-void ElasticPool::JoinEnded() {
-  for (std::thread& thread : ended_) thread.join();
-  ended_.clear();
+void ElasticPool::JoinEndedThreads() {
+  for (std::thread& thread : ended_threads_) thread.join();
+  ended_threads_.clear();
 }
 
 void ElasticPool::shutdown() {
@@ -86,8 +89,8 @@
   stopping_ = true;
   changed_.notify_all();
   changed_.wait(lock, [this] { return threads_.empty(); });
-  Threads ended = std::move(ended_);
-  ended_.clear();
+  Threads ended = std::move(ended_threads_);
+  ended_threads_.clear();
   lock.unlock();
   for (std::thread& thread : ended) thread.join();
 }
--- a/src/net/elastic_pool.h
+++ b/src/net/elastic_pool.h
@@ -1,5 +1,5 @@
 /// @file
-/// Threads that come with the work and go when there is none.
+/// A thread pool that grows and shrinks with its load.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -21,48 +21,54 @@
 
 namespace limeledge {
 
-/// Runs tasks on at most so many threads; a thread that finds nothing to do for
-/// a while ends, but for one. For servers whose calls wait long, but are few on
-/// most days. Where no more threads are to be had, the others do the work.
+/// A thread pool that adds threads on demand, up to a maximum, and ends threads
+/// that stay idle, except the last one. It suits servers whose calls block for
+/// a long time while few of them are usually in progress. If the system refuses
+/// another thread, tasks wait for the existing ones.
 ///
-/// Thread safety: all methods from any thread; `shutdown` once.
+/// Thread safety: all methods may be called from any thread; `shutdown` only
+/// once.
 class ElasticPool : public httplib::TaskQueue {
  public:
-  /// Throws `std::system_error` if not even one thread is to be had.
-  /// Precondition: `most_threads` is above 0.
-  explicit ElasticPool(std::size_t most_threads,
-                       Duration idle = Duration(10000));
+  /// Starts the first thread; throws `std::system_error` if that fails. Threads
+  /// that are idle for `idle_timeout` end. Precondition: `max_threads` > 0.
+  explicit ElasticPool(std::size_t max_threads,
+                       Duration idle_timeout = Duration(10000));
   ~ElasticPool() override;
   ElasticPool(const ElasticPool&) = delete;
   ElasticPool& operator=(const ElasticPool&) = delete;
 
-  /// Runs `task` on a free thread, on a new one, or once one is free.
+  /// Runs `task` on an idle or a new thread, or queues it until a thread is
+  /// idle.
   void enqueue(std::function<void()> task) override;
-  /// Finishes all tasks and ends all threads. Nothing may be added afterwards.
+  /// Runs all queued tasks and joins all threads. `enqueue` must not be called
+  /// afterwards.
   void shutdown() override;
 
-  /// Threads that are there now.
+  /// The current number of threads.
   std::size_t threads();
 
  private:
   using Threads = std::list<std::thread>;
 
-  /// Precondition: the lock is held.
+  /// Precondition: `mutex_` is held.
   void AddThread();
-  void Serve(Threads::iterator self);
-  /// Takes a task out, after a wait; nothing if this thread is to end.
-  std::function<void()> Next(std::unique_lock<std::mutex>* lock);
-  /// Joins threads that have ended. Precondition: the lock is held.
-  void JoinEnded();
+  /// The main function of a thread.
+  void RunTasks(Threads::iterator self);
+  /// Waits for a task and removes it from the queue. Returns an empty function
+  /// if the calling thread has to end.
+  std::function<void()> NextTask(std::unique_lock<std::mutex>* lock);
+  /// Joins the threads that have ended. Precondition: `mutex_` is held.
+  void JoinEndedThreads();
 
-  const std::size_t most_threads_;
-  const Duration idle_;
+  const std::size_t max_threads_;
+  const Duration idle_timeout_;
   std::mutex mutex_;
   std::condition_variable changed_;
   std::deque<std::function<void()>> tasks_;
   Threads threads_;
-  Threads ended_;
-  std::size_t waiting_ = 0;
+  Threads ended_threads_;
+  std::size_t idle_threads_ = 0;
   bool stopping_ = false;
 };
 
--- a/test/elastic-pool-test.cc
+++ b/test/elastic-pool-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the pool whose threads come and go.
+/// Tests of the thread pool that grows and shrinks with its load.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,7 +17,7 @@
 namespace limeledge {
 
 TEST_GROUP(ElasticPool){
-    /// Waits until the pool has so many threads.
+    /// Waits until the pool has `wanted` threads.
     static void AwaitThreads(ElasticPool * pool, std::size_t wanted){
         while (pool->threads() != wanted){
             std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -26,7 +26,7 @@
 }
 ;
 
-TEST(ElasticPool, TasksThatWaitForEachOtherAllRun) {
+TEST(ElasticPool, TasksThatBlockOnALaterTaskAllRun) {
   ElasticPool pool(4);
   std::promise<void> opened;
   std::shared_future<void> gate = opened.get_future().share();
@@ -42,7 +42,7 @@
   LONGS_EQUAL(4, done + 1);
 }
 
-TEST(ElasticPool, MoreTasksThanThreadsWaitForTheirTurn) {
+TEST(ElasticPool, TasksBeyondTheThreadLimitAreQueued) {
   ElasticPool pool(2);
   std::atomic<int> done = 0;
   for (int i = 0; i < 50; ++i) pool.enqueue([&done] { ++done; });
@@ -50,14 +50,15 @@
   LONGS_EQUAL(50, done);
 }
 
-// One stays, so that work goes on where no more threads are to be had.
+// The last thread never ends, so that tasks still run when the system refuses
+// to start new threads.
 TEST(ElasticPool, ThreadsComeWithWorkAndAllButOneEndWithoutIt) {
   ElasticPool pool(8, Duration(20));
   LONGS_EQUAL(1, pool.threads());
   std::promise<void> opened;
   std::shared_future<void> gate = opened.get_future().share();
   for (int i = 0; i < 3; ++i) pool.enqueue([gate] { gate.wait(); });
-  // One more where the first had not begun to wait yet.
+  // The pool may start a fourth thread if the first one was not waiting yet.
   CHECK_TRUE(pool.threads() >= 3);
   opened.set_value();
   AwaitThreads(&pool, 1);
