--- a/src/net/http_call.h
+++ b/src/net/http_call.h
@@ -1,5 +1,5 @@
 /// @file
-/// An HTTP call and its outcome, however it is carried out.
+/// The request and reply types shared by the HTTP clients.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,16 +15,21 @@
 
 namespace limeledge {
 
+/// How far an HTTP call got.
 enum class HttpOutcome {
+  /// A complete response was received, with any status.
   kAnswered,
-  /// No connection: not a byte of the request left.
+  /// No part of the request was sent, so the server cannot have processed it.
   kNotSent,
-  /// Something was sent and no whole answer came.
+  /// The request may have been sent, but no complete response was received. The
+  /// server may have processed it.
   kLost,
 };
 
+/// The result of an HTTP call.
 struct HttpReply {
   HttpOutcome outcome = HttpOutcome::kLost;
+  /// The HTTP status; 0 unless `outcome` is `kAnswered`.
   int status = 0;
   std::string body;
   httplib::Headers headers;
@@ -32,8 +37,9 @@
   bool ok() const { return outcome == HttpOutcome::kAnswered && status == 200; }
 };
 
+/// An HTTP request with its destination and timeouts.
 struct HttpCall {
-  /// "HOST:PORT".
+  /// The server, as "HOST:PORT".
   std::string address;
   std::string method = "POST";
   std::string path;
@@ -44,7 +50,7 @@
   std::string if_match;
   /// Sent as "If-None-Match" unless empty.
   std::string if_none_match;
-  /// Further headers.
+  /// Additional request headers.
   httplib::Headers headers;
   Duration connect_timeout{500};
   Duration timeout{2000};
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP calls by cpp-httplib.
+/// Implementation of `HttpClient` with cpp-httplib.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -25,7 +25,8 @@
   return std::chrono::milliseconds(std::max<std::int64_t>(1, duration.ms()));
 }
 
-/// A peer that vanished without a word is noticed by unacknowledged bytes.
+/// The kernel closes a connection whose data stays unacknowledged for this
+/// long, so that a peer that vanished without closing it is detected.
 constexpr unsigned int kUserTimeoutMs = 3000;
 
 void SetUserTimeout(socket_t socket) {
@@ -63,11 +64,11 @@
 
 }  // namespace
 
-HttpClient::HttpClient(Duration idle) : idle_(idle) {}
+HttpClient::HttpClient(Duration idle_timeout) : idle_timeout_(idle_timeout) {}
 
 HttpReply HttpClient::Call(const HttpCall& call) {
   HttpReply reply;
-  std::unique_ptr<httplib::Client> client = Take(call.address);
+  std::unique_ptr<httplib::Client> client = Acquire(call.address);
   if (client == nullptr) {
     reply.outcome = HttpOutcome::kNotSent;
     return reply;
@@ -79,28 +80,29 @@
   if (!result) {
     reply.outcome =
         WasNotSent(result.error()) ? HttpOutcome::kNotSent : HttpOutcome::kLost;
-    Drop(call.address);
+    CloseIdle(call.address);
     return reply;
   }
   reply.outcome = HttpOutcome::kAnswered;
   reply.status = result->status;
   reply.body = std::move(result->body);
   reply.headers = std::move(result->headers);
-  Keep(call.address, std::move(client));
+  Release(call.address, std::move(client));
   return reply;
 }
 
-std::unique_ptr<httplib::Client> HttpClient::Take(const std::string& address) {
+std::unique_ptr<httplib::Client> HttpClient::Acquire(
+    const std::string& address) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    std::vector<Kept>& kept = kept_[address];
+    std::vector<IdleConnection>& connections = idle_connections_[address];
     const TimePoint now = clock_.Now();
-    while (!kept.empty()) {
-      Kept last = std::move(kept.back());
-      kept.pop_back();
-      if (now - last.since < idle_) return std::move(last.client);
-      // Those before it have rested even longer.
-      kept.clear();
+    while (!connections.empty()) {
+      IdleConnection last = std::move(connections.back());
+      connections.pop_back();
+      if (now - last.idle_since < idle_timeout_) return std::move(last.client);
+      // The remaining ones have been idle even longer.
+      connections.clear();
     }
   }
   const absl::StatusOr<Endpoint> endpoint = ParseEndpoint(address);
@@ -113,16 +115,16 @@
   return client;
 }
 
-void HttpClient::Keep(const std::string& address,
-                      std::unique_ptr<httplib::Client> client) {
+void HttpClient::Release(const std::string& address,
+                         std::unique_ptr<httplib::Client> client) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  kept_[address].push_back({std::move(client), clock_.Now()});
+  idle_connections_[address].push_back({std::move(client), clock_.Now()});
 }
 
-void HttpClient::Drop(const std::string& address) {
-  std::vector<Kept> dropped;
+void HttpClient::CloseIdle(const std::string& address) {
+  std::vector<IdleConnection> closing;
   const std::lock_guard<std::mutex> lock(mutex_);
-  dropped.swap(kept_[address]);
+  closing.swap(idle_connections_[address]);
 }
 
 }  // namespace limeledge
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP calls over kept connections, with outcomes told apart.
+/// A blocking HTTP client with a pool of keep-alive connections.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -21,36 +21,40 @@
 
 namespace limeledge {
 
-/// Calls addresses over connections that are kept for the next call. A call is
-/// never repeated by itself.
+/// A blocking HTTP client that reuses keep-alive connections. It never retries
+/// a call.
 ///
-/// Thread safety: `Call` may be used from any thread.
+/// Thread safety: `Call` may be called from any thread.
 class HttpClient {
  public:
-  /// `idle` is how long a kept connection may rest; it must be less than the
-  /// servers' own limit, or a call may meet a closed connection.
-  explicit HttpClient(Duration idle = Duration(1000));
+  /// Connections that are idle for `idle_timeout` are not reused. It must be
+  /// shorter than the servers' keep-alive timeout: otherwise a call may use a
+  /// connection that the server is about to close.
+  explicit HttpClient(Duration idle_timeout = Duration(1000));
 
-  /// Carries a call out and waits for its end.
+  /// Sends a request and waits for its response or a timeout.
   HttpReply Call(const HttpCall& call);
 
  private:
-  struct Kept {
+  struct IdleConnection {
     std::unique_ptr<httplib::Client> client;
-    TimePoint since;
+    TimePoint idle_since;
   };
 
-  std::unique_ptr<httplib::Client> Take(const std::string& address);
-  void Keep(const std::string& address,
-            std::unique_ptr<httplib::Client> client);
-  /// Closes the kept connections to an address: what silenced one of them may
-  /// have silenced all, without a sign.
-  void Drop(const std::string& address);
-
-  Duration idle_;
+  /// Returns an idle connection to an address, or a client that connects with
+  /// its first request. Null if the address is malformed.
+  std::unique_ptr<httplib::Client> Acquire(const std::string& address);
+  /// Returns a connection to the pool.
+  void Release(const std::string& address,
+               std::unique_ptr<httplib::Client> client);
+  /// Closes the idle connections to an address. Called after a failed call,
+  /// because the same fault may have broken all of them without closing them.
+  void CloseIdle(const std::string& address);
+
+  Duration idle_timeout_;
   SteadyClock clock_;
   std::mutex mutex_;
-  std::map<std::string, std::vector<Kept>> kept_;
+  std::map<std::string, std::vector<IdleConnection>> idle_connections_;
 };
 
 }  // namespace limeledge
--- a/test/http-client-test.cc
+++ b/test/http-client-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of calls over kept connections.
+/// Tests of `HttpClient` and its connection pool.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,29 +18,32 @@
   HttpClient client{Duration(60000)};
 
   HttpReply Get(Duration timeout) {
-    return client.Call(CallTo(proxy.address(), timeout));
+    return client.Call(MakeCall(proxy.address(), timeout));
   }
 
-  /// Leaves two kept connections.
-  void KeepTwo() {
-    std::thread other([this] { CHECK(Get(kLong).ok()); });
-    CHECK(Get(kLong).ok());
+  /// Makes two concurrent calls, which leave up to two idle
+  /// connections.
+  void OpenTwoConnections() {
+    std::thread other([this] { CHECK(Get(kLongTimeout).ok()); });
+    CHECK(Get(kLongTimeout).ok());
     other.join();
   }
 };
 
-TEST(HttpClient, AddressThatIsNoneIsNotCalled) {
+TEST(HttpClient, CallToMalformedAddressIsNotSent) {
   HttpCall call;
   call.address = "nowhere";
   CHECK(client.Call(call).outcome == HttpOutcome::kNotSent);
 }
 
-// Each further kept connection cost one more call its whole time.
+// A call that timed out used to leave the other idle connections to the same
+// server in the pool. If these were silent too, each cost another call its
+// whole timeout.
 TEST(HttpClient, CallAfterOneOnASilentConnectionOpensANewOne) {
-  KeepTwo();
+  OpenTwoConnections();
   proxy.SilenceAll();
   CHECK(Get(Duration(50)).outcome == HttpOutcome::kLost);
-  CHECK(Get(kLong).ok());
+  CHECK(Get(kLongTimeout).ok());
 }
 
 }  // namespace limeledge
--- a/test/http-loop-test.cc
+++ b/test/http-loop-test.cc
@@ -80,32 +80,32 @@
   HttpLoop loop{{Duration(60000), 100}};
 
   HttpReply Get(Duration timeout) {
-    return CallAndWait(&loop, CallTo(proxy.address(), timeout));
+    return CallAndWait(&loop, MakeCall(proxy.address(), timeout));
   }
 };
 
 TEST(HttpLoop, AnswerIsToldWhole) {
-  const HttpReply reply = Get(kLong);
+  const HttpReply reply = Get(kLongTimeout);
   CHECK(reply.ok());
   STRCMP_EQUAL("whole answer", reply.body.c_str());
   LONGS_EQUAL(1, reply.headers.count("X-Told"));
 }
 
 TEST(HttpLoop, AddressThatIsNoneIsNotCalled) {
-  CHECK(CallAndWait(&loop, CallTo("nowhere", kLong)).outcome ==
+  CHECK(CallAndWait(&loop, MakeCall("nowhere", kLongTimeout)).outcome ==
         HttpOutcome::kNotSent);
 }
 
 TEST(HttpLoop, ClosedPortGetsNothingSent) {
   const std::string address = server->address();
   server->Stop();
-  CHECK(CallAndWait(&loop, CallTo(address, kLong)).outcome ==
+  CHECK(CallAndWait(&loop, MakeCall(address, kLongTimeout)).outcome ==
         HttpOutcome::kNotSent);
 }
 
 TEST(HttpLoop, NextCallTakesTheKeptConnection) {
-  CHECK(Get(kLong).ok());
-  CHECK(Get(kLong).ok());
+  CHECK(Get(kLongTimeout).ok());
+  CHECK(Get(kLongTimeout).ok());
   LONGS_EQUAL(1, loop.connections());
 }
 
@@ -117,37 +117,37 @@
     closed.set_value();
     listener.AnswerOnceAndClose();
   });
-  CHECK(CallAndWait(&loop, CallTo(listener.address(), kLong)).ok());
+  CHECK(CallAndWait(&loop, MakeCall(listener.address(), kLongTimeout)).ok());
   closed.get_future().get();
-  CHECK(CallAndWait(&loop, CallTo(listener.address(), kLong)).ok());
+  CHECK(CallAndWait(&loop, MakeCall(listener.address(), kLongTimeout)).ok());
   peer.join();
 }
 
 // Each further kept connection would cost one more call its whole time.
 TEST(HttpLoop, CallAfterOneOnASilentConnectionOpensANewOne) {
-  CHECK(Get(kLong).ok());
+  CHECK(Get(kLongTimeout).ok());
   proxy.SilenceAll();
   CHECK(Get(Duration(50)).outcome == HttpOutcome::kLost);
-  CHECK(Get(kLong).ok());
+  CHECK(Get(kLongTimeout).ok());
 }
 
 TEST(HttpLoop, CallBeyondTheMostConnectionsIsNotSent) {
   const LocalListener mute;
-  HttpLoop small({kLong, 1});
-  small.Call(CallTo(mute.address(), kLong), [](const HttpReply&) {});
-  CHECK(CallAndWait(&small, CallTo(mute.address(), kLong)).outcome ==
+  HttpLoop small({kLongTimeout, 1});
+  small.Call(MakeCall(mute.address(), kLongTimeout), [](const HttpReply&) {});
+  CHECK(CallAndWait(&small, MakeCall(mute.address(), kLongTimeout)).outcome ==
         HttpOutcome::kNotSent);
 }
 
 // The loop is behind: its thread is at something else.
 TEST(HttpLoop, CallThatCouldNotLeaveInTimeIsNotSent) {
-  CHECK(Get(kLong).ok());
+  CHECK(Get(kLongTimeout).ok());
   std::promise<HttpReply> told;
-  loop.Call(CallTo("nowhere", kLong), [](const HttpReply&) {
+  loop.Call(MakeCall("nowhere", kLongTimeout), [](const HttpReply&) {
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
   });
   loop.Call(
-      CallTo(proxy.address(), kLong),
+      MakeCall(proxy.address(), kLongTimeout),
       [&told](HttpReply reply) { told.set_value(std::move(reply)); },
       Duration(50));
   CHECK(told.get_future().get().outcome == HttpOutcome::kNotSent);
@@ -156,15 +156,16 @@
 TEST(HttpLoop, CallThatLeavesInTimeIsSent) {
   std::promise<HttpReply> told;
   loop.Call(
-      CallTo(proxy.address(), kLong),
-      [&told](HttpReply reply) { told.set_value(std::move(reply)); }, kLong);
+      MakeCall(proxy.address(), kLongTimeout),
+      [&told](HttpReply reply) { told.set_value(std::move(reply)); },
+      kLongTimeout);
   CHECK(told.get_future().get().ok());
 }
 
 TEST(HttpLoop, RestingConnectionMakesPlaceForAnother) {
-  HttpLoop small({kLong, 1});
-  CHECK(CallAndWait(&small, CallTo(proxy.address(), kLong)).ok());
-  CHECK(CallAndWait(&small, CallTo(server->address(), kLong)).ok());
+  HttpLoop small({kLongTimeout, 1});
+  CHECK(CallAndWait(&small, MakeCall(proxy.address(), kLongTimeout)).ok());
+  CHECK(CallAndWait(&small, MakeCall(server->address(), kLongTimeout)).ok());
 }
 
 // With a thread for each, a fleet of 1,100 runners came to the 2,048 threads
@@ -172,12 +173,12 @@
 TEST(HttpLoop, ThousandsOfCallsUnderWayTakeNoFurtherThreads) {
   constexpr std::size_t kCalls = 2500;
   const LocalListener mute;
-  HttpLoop wide({kLong, 2 * kCalls});
+  HttpLoop wide({kLongTimeout, 2 * kCalls});
   const std::ptrdiff_t before = ThreadsOfThisProcess();
   std::atomic<std::size_t> lost = 0;
   std::promise<void> all_lost;
   for (std::size_t i = 0; i < kCalls; ++i) {
-    wide.Call(CallTo(mute.address(), Duration(300)), [&](const HttpReply&) {
+    wide.Call(MakeCall(mute.address(), Duration(300)), [&](const HttpReply&) {
       if (++lost == kCalls) all_lost.set_value();
     });
   }
--- a/test/proxied-server-fixture.h
+++ b/test/proxied-server-fixture.h
@@ -1,5 +1,5 @@
 /// @file
-/// The fixture of tests of HTTP clients.
+/// A fixture for tests of the HTTP clients.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,12 +17,13 @@
 
 namespace limeledge {
 
-/// A server behind a proxy that can silence connections.
+/// A server behind a proxy that can stop forwarding data without closing the
+/// connections.
 class ProxiedServerFixture : public Utest {
  public:
   static constexpr char kLocal[] = "127.0.0.1";
-  /// Longer than any answer takes.
-  static constexpr Duration kLong{10000};
+  /// Longer than any response takes.
+  static constexpr Duration kLongTimeout{10000};
 
   std::unique_ptr<HttpServer> server;
   soak::TcpProxy proxy;
@@ -46,8 +47,8 @@
     server->Stop();
   }
 
-  /// A call that is answered with "whole answer".
-  static HttpCall CallTo(const std::string& address, Duration timeout) {
+  /// A call that the server answers with "whole answer".
+  static HttpCall MakeCall(const std::string& address, Duration timeout) {
     HttpCall call;
     call.address = address;
     call.method = "GET";
