--- a/src/net/http_loop.cc
+++ b/src/net/http_loop.cc
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP calls by Boost.Beast on one thread.
+/// Implementation of `HttpLoop` with Boost.Beast.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -40,22 +40,23 @@
 using boost::system::error_code;
 
 constexpr char kJsonType[] = "application/json";
-/// A peer that vanished without a word is noticed by unacknowledged bytes.
+/// The kernel closes a connection whose data stays unacknowledged for this
+/// long, so that a peer that vanished without closing it is detected.
 constexpr int kUserTimeoutMs = 3000;
-/// Deadlines are looked at this seldom, so that a thousand calls under way do
-/// not set a timer each.
-constexpr Duration kDeadlineStep{10};
-/// The system's timers stand still while the machine is suspended: none is
-/// waited for longer than this at once, so that a deadline that went by
-/// meanwhile is noticed so soon after.
-constexpr std::chrono::milliseconds kLongestWait{500};
-/// Kept connections that rested for too long are closed this often.
+/// The resolution of deadlines. Deadlines that are close together share a timer
+/// expiry, so that a thousand calls in progress do not each set the timer.
+constexpr Duration kDeadlineResolution{10};
+/// The longest single wait for a timer. System timers do not advance while the
+/// machine is suspended, so a longer wait is split: a deadline that passed
+/// during a suspension is noticed at most this long after it.
+constexpr std::chrono::milliseconds kMaxTimerWait{500};
+/// How often connections are closed that exceed the idle timeout.
 constexpr Duration kSweepInterval{1000};
 constexpr int kHttp11 = 11;
-/// An answer that is larger is lost: the store's pages hold 1 MB.
-constexpr std::uint64_t kLargestBody = 4194304;
+/// A larger response counts as lost. The store's pages are at most 1 MB.
+constexpr std::uint64_t kMaxResponseBytes = 4194304;
 
-/// `SteadyClock` as timers take it.
+/// Adapts `SteadyClock` to the clock requirements of Asio timers.
 struct TimerClock {
   using duration = std::chrono::milliseconds;
   using rep = duration::rep;
@@ -67,10 +68,10 @@
   }
 };
 
-/// How long the system is let wait for a timer.
+/// Limits each wait of an Asio timer to `kMaxTimerWait`.
 struct TimerWait {
   static TimerClock::duration to_wait_duration(TimerClock::duration left) {
-    return std::min(left, TimerClock::duration(kLongestWait));
+    return std::min(left, TimerClock::duration(kMaxTimerWait));
   }
   static TimerClock::duration to_wait_duration(TimerClock::time_point at) {
     return to_wait_duration(at - TimerClock::now());
@@ -79,14 +80,14 @@
 
 using Timer = asio::basic_waitable_timer<TimerClock, TimerWait>;
 
-/// An open connection. Deregisters itself from the count of open ones.
+/// A connection, counted in `open` for as long as it exists.
 class Connection {
  public:
   Connection(asio::io_context* io, std::atomic<std::size_t>* open)
-      : socket_(*io), open_(open) {
-    ++*open_;
+      : socket_(*io), open_connections_(open) {
+    ++*open_connections_;
   }
-  ~Connection() { --*open_; }
+  ~Connection() { --*open_connections_; }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
@@ -94,27 +95,28 @@
   boost::beast::flat_buffer& buffer() { return buffer_; }
 
   void SetOptions() {
-    error_code ignored;  // Without them it works all the same, but slower.
+    error_code ignored;  // Calls also work without these options, but slower.
     socket_.set_option(tcp::no_delay(true), ignored);
     setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
                &kUserTimeoutMs, sizeof(kUserTimeoutMs));
   }
 
-  /// False if the peer has closed it, as far as is known here.
+  /// Returns false if the peer's close has already arrived.
   bool IsOpen() {
     char byte = 0;
     const ssize_t read =
         recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    // Bytes that nobody asked for are no answer to the next call either.
+    // Unsolicited data makes the connection unusable too: it would be read as
+    // the response to the next request.
     return read < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
   }
 
-  TimePoint kept_since;
+  TimePoint idle_since;
 
  private:
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
-  std::atomic<std::size_t>* open_;
+  std::atomic<std::size_t>* open_connections_;
 };
 
 using ConnectionPtr = std::unique_ptr<Connection>;
@@ -140,16 +142,16 @@
   return request;
 }
 
-/// One call on its way.
+/// A call in progress.
 struct Exchange {
   HttpCall call;
   HttpLoop::Done done;
   Request request;
   ConnectionPtr connection;
-  /// The call is not sent after this; nothing for no such bound.
+  /// The call is not sent after this time, if there is one.
   std::optional<TimePoint> send_by;
   std::optional<http::response_parser<http::string_body>> parser;
-  /// Where it stands among the deadlines.
+  /// The entry of this exchange in `Impl::deadlines_`, or its end.
   std::multimap<TimePoint, Exchange*>::iterator deadline;
 };
 
@@ -161,7 +163,7 @@
  public:
   explicit Impl(HttpLoopOptions options)
       : options_(options), deadline_timer_(io_), sweep_timer_(io_) {
-    AwaitSweep();
+    ScheduleSweep();
     thread_ = std::thread([this] { io_.run(); });
   }
 
@@ -178,27 +180,27 @@
       exchange->send_by = clock_.Now() + *send_within;
     }
     const std::lock_guard<std::mutex> lock(mutex_);
-    asked_.push_back(std::move(exchange));
-    // One wake-up brings all that was asked for until then.
-    if (asked_.size() == 1) asio::post(io_, [this] { TakeAsked(); });
+    pending_.push_back(std::move(exchange));
+    // One handler starts all calls that are queued before it runs.
+    if (pending_.size() == 1) asio::post(io_, [this] { StartPending(); });
   }
 
-  std::size_t connections() const { return open_; }
+  std::size_t connections() const { return open_connections_; }
 
  private:
-  void TakeAsked() {
-    std::vector<ExchangePtr> asked;
+  void StartPending() {
+    std::vector<ExchangePtr> pending;
     {
       const std::lock_guard<std::mutex> lock(mutex_);
-      asked.swap(asked_);
+      pending.swap(pending_);
     }
-    for (const ExchangePtr& exchange : asked) Begin(exchange);
+    for (const ExchangePtr& exchange : pending) Start(exchange);
   }
 
-  void Begin(const ExchangePtr& exchange) {
+  void Start(const ExchangePtr& exchange) {
     exchange->deadline = deadlines_.end();
     exchange->request = MakeRequest(&exchange->call);
-    exchange->connection = Take(exchange->call.address);
+    exchange->connection = AcquireIdle(exchange->call.address);
     if (exchange->connection != nullptr) {
       Send(exchange);
     } else {
@@ -215,11 +217,12 @@
       peer = tcp::endpoint(asio::ip::make_address_v4(endpoint->host, error),
                            static_cast<unsigned short>(endpoint->port));
     }
-    if (!endpoint.ok() || error || !MakePlace()) {
+    if (!endpoint.ok() || error || !EvictIdleIfFull()) {
       Finish(exchange, HttpOutcome::kNotSent);
       return;
     }
-    exchange->connection = std::make_unique<Connection>(&io_, &open_);
+    exchange->connection =
+        std::make_unique<Connection>(&io_, &open_connections_);
     exchange->connection->socket().open(tcp::v4(), error);
     if (error) {
       Finish(exchange, HttpOutcome::kNotSent);
@@ -256,7 +259,7 @@
 
   void Receive(const ExchangePtr& exchange) {
     exchange->parser.emplace();
-    exchange->parser->body_limit(kLargestBody);
+    exchange->parser->body_limit(kMaxResponseBytes);
     http::async_read(exchange->connection->socket(),
                      exchange->connection->buffer(), *exchange->parser,
                      [this, exchange](const error_code& failed, std::size_t) {
@@ -266,7 +269,7 @@
   }
 
   void Finish(const ExchangePtr& exchange, HttpOutcome outcome) {
-    DropDeadline(exchange.get());
+    ClearDeadline(exchange.get());
     HttpReply reply;
     reply.outcome = outcome;
     if (outcome == HttpOutcome::kAnswered) {
@@ -277,131 +280,143 @@
       }
       reply.body = std::move(message.body());
       if (exchange->parser->keep_alive()) {
-        Keep(exchange->call.address, std::move(exchange->connection));
+        Release(exchange->call.address, std::move(exchange->connection));
       }
     } else {
-      // What silenced one connection may have silenced all, without a sign.
-      kept_.erase(exchange->call.address);
+      // The same fault may have broken the other connections to this address
+      // without closing them.
+      idle_connections_.erase(exchange->call.address);
     }
     exchange->connection = nullptr;
     exchange->done(std::move(reply));
   }
 
-  // Kept connections.
-
-  ConnectionPtr Take(const std::string& address) {
-    const auto found = kept_.find(address);
-    if (found == kept_.end()) return nullptr;
-    std::vector<ConnectionPtr>& kept = found->second;
-    while (!kept.empty()) {
-      ConnectionPtr last = std::move(kept.back());
-      kept.pop_back();
-      const bool rested = clock_.Now() - last->kept_since >= options_.idle;
-      if (!rested && last->IsOpen()) return last;
+  // Idle connections.
+
+  /// Returns an idle connection to an address, or null if there is none.
+  ConnectionPtr AcquireIdle(const std::string& address) {
+    const auto found = idle_connections_.find(address);
+    if (found == idle_connections_.end()) return nullptr;
+    std::vector<ConnectionPtr>& connections = found->second;
+    while (!connections.empty()) {
+      ConnectionPtr last = std::move(connections.back());
+      connections.pop_back();
+      const bool expired =
+          clock_.Now() - last->idle_since >= options_.idle_timeout;
+      if (!expired && last->IsOpen()) return last;
     }
-    kept_.erase(found);
+    idle_connections_.erase(found);
     return nullptr;
   }
 
-  void Keep(const std::string& address, ConnectionPtr connection) {
-    connection->kept_since = clock_.Now();
-    kept_[address].push_back(std::move(connection));
+  /// Adds a connection to the idle ones.
+  void Release(const std::string& address, ConnectionPtr connection) {
+    connection->idle_since = clock_.Now();
+    idle_connections_[address].push_back(std::move(connection));
   }
 
-  /// Makes room for one more connection; false if all are in use.
-  bool MakePlace() {
-    if (open_ < options_.max_connections) return true;
-    auto oldest = kept_.end();
-    for (auto it = kept_.begin(); it != kept_.end(); ++it) {
+  /// Closes the longest idle connection if the limit is reached. Returns false
+  /// if the limit is reached and no connection is idle.
+  bool EvictIdleIfFull() {
+    if (open_connections_ < options_.max_connections) return true;
+    auto oldest = idle_connections_.end();
+    for (auto it = idle_connections_.begin(); it != idle_connections_.end();
+         ++it) {
       if (it->second.empty()) continue;
       const bool older =
-          oldest == kept_.end() ||
-          it->second.front()->kept_since < oldest->second.front()->kept_since;
+          oldest == idle_connections_.end() ||
+          it->second.front()->idle_since < oldest->second.front()->idle_since;
       if (older) oldest = it;
     }
-    if (oldest == kept_.end()) return false;
+    if (oldest == idle_connections_.end()) return false;
     oldest->second.erase(oldest->second.begin());
     return true;
   }
 
-  void AwaitSweep() {
+  void ScheduleSweep() {
     sweep_timer_.expires_after(std::chrono::milliseconds(kSweepInterval.ms()));
     sweep_timer_.async_wait([this](const error_code& failed) {
       if (failed) return;
-      Sweep();
-      AwaitSweep();
+      CloseExpired();
+      ScheduleSweep();
     });
   }
 
-  /// Closes what rested for too long.
-  void Sweep() {
+  /// Closes the connections that exceed the idle timeout.
+  void CloseExpired() {
     const TimePoint now = clock_.Now();
-    for (auto it = kept_.begin(); it != kept_.end();) {
-      std::vector<ConnectionPtr>& kept = it->second;
-      const auto rested = [this, now](const ConnectionPtr& connection) {
-        return now - connection->kept_since >= options_.idle;
+    for (auto it = idle_connections_.begin(); it != idle_connections_.end();) {
+      std::vector<ConnectionPtr>& connections = it->second;
+      const auto expired = [this, now](const ConnectionPtr& connection) {
+        return now - connection->idle_since >= options_.idle_timeout;
       };
-      kept.erase(std::remove_if(kept.begin(), kept.end(), rested), kept.end());
-      it = kept.empty() ? kept_.erase(it) : std::next(it);
+      connections.erase(
+          std::remove_if(connections.begin(), connections.end(), expired),
+          connections.end());
+      it = connections.empty() ? idle_connections_.erase(it) : std::next(it);
     }
   }
 
-  // Deadlines. One timer serves all calls.
+  // Deadlines. All calls share one timer.
 
   void SetDeadline(Exchange* exchange, Duration after) {
-    DropDeadline(exchange);
-    const TimePoint at = clock_.Now() + std::max(after, kDeadlineStep);
+    ClearDeadline(exchange);
+    const TimePoint at = clock_.Now() + std::max(after, kDeadlineResolution);
     exchange->deadline = deadlines_.emplace(at, exchange);
-    if (!timer_at_.has_value() || at + kDeadlineStep <= *timer_at_) {
-      AwaitDeadline();
+    if (!timer_expiry_.has_value() ||
+        at + kDeadlineResolution <= *timer_expiry_) {
+      ScheduleDeadlineTimer();
     }
   }
 
-  void DropDeadline(Exchange* exchange) {
+  void ClearDeadline(Exchange* exchange) {
     if (exchange->deadline == deadlines_.end()) return;
     deadlines_.erase(exchange->deadline);
     exchange->deadline = deadlines_.end();
   }
 
-  void AwaitDeadline() {
-    timer_at_.reset();
+  void ScheduleDeadlineTimer() {
+    timer_expiry_.reset();
     if (deadlines_.empty()) return;
     const TimePoint at =
-        std::max(deadlines_.begin()->first, clock_.Now() + kDeadlineStep);
-    timer_at_ = at;
+        std::max(deadlines_.begin()->first, clock_.Now() + kDeadlineResolution);
+    timer_expiry_ = at;
     deadline_timer_.expires_after(
         std::chrono::milliseconds((at - clock_.Now()).ms()));
     deadline_timer_.async_wait([this](const error_code& failed) {
-      // It was set anew.
+      // Canceled, because the timer was set again.
       if (failed) return;
-      EndOverdue();
-      AwaitDeadline();
+      AbortOverdue();
+      ScheduleDeadlineTimer();
     });
   }
 
-  /// Closes the connections of calls whose time is over, which ends them.
-  void EndOverdue() {
+  /// Closes the connections of calls whose deadline has passed. Their pending
+  /// operations then fail, which finishes the calls.
+  void AbortOverdue() {
     const TimePoint now = clock_.Now();
     while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
       Exchange* exchange = deadlines_.begin()->second;
-      DropDeadline(exchange);
-      error_code ignored;  // It is closed in any case.
+      ClearDeadline(exchange);
+      error_code ignored;  // The socket is closed even on an error.
       exchange->connection->socket().close(ignored);
     }
   }
 
   const HttpLoopOptions options_;
   SteadyClock clock_;
-  std::atomic<std::size_t> open_ = 0;
+  std::atomic<std::size_t> open_connections_ = 0;
   asio::io_context io_{1};
   Timer deadline_timer_;
   Timer sweep_timer_;
-  std::optional<TimePoint> timer_at_;
+  /// When `deadline_timer_` expires, if it is set.
+  std::optional<TimePoint> timer_expiry_;
   std::multimap<TimePoint, Exchange*> deadlines_;
-  std::map<std::string, std::vector<ConnectionPtr>> kept_;
+  /// Idle connections by address, each list in the order of `idle_since`.
+  std::map<std::string, std::vector<ConnectionPtr>> idle_connections_;
   std::mutex mutex_;
-  /// Calls that the loop has not begun yet. Guarded by `mutex_`.
-  std::vector<ExchangePtr> asked_;
+  /// Calls that the event loop has not started yet. Guarded by `mutex_`.
+  std::vector<ExchangePtr> pending_;
   std::thread thread_;
 };
 
--- a/src/net/http_loop.h
+++ b/src/net/http_loop.h
@@ -1,5 +1,5 @@
 /// @file
-/// Many HTTP calls at once on one thread.
+/// An asynchronous HTTP client that runs on one thread.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,40 +17,43 @@
 
 namespace limeledge {
 
+/// Limits of an `HttpLoop`.
 struct HttpLoopOptions {
-  /// How long a kept connection may rest; less than the servers' own limit, or
-  /// a call may meet a closed connection.
-  Duration idle{10000};
-  /// Connections that are open at once; those that rest make way for new ones.
-  /// A call that finds no place is not sent.
+  /// Connections that are idle for this long are closed. It must be shorter
+  /// than the servers' keep-alive timeout: otherwise a call may use a
+  /// connection that the server is about to close.
+  Duration idle_timeout{10000};
+  /// The maximum number of open connections. At the limit, a new connection
+  /// replaces an idle one; if none is idle, the call is not sent.
   std::size_t max_connections = 3000;
 };
 
-/// Carries out HTTP calls on one thread, however many are under way: a thread
-/// for each call would meet the system's bound at about a thousand runners,
-/// each of which has a call under way nearly always. Connections are kept for
-/// the next call. A call is never repeated by itself.
+/// An asynchronous HTTP client that runs all calls on one event loop thread and
+/// reuses keep-alive connections. One thread per call would exceed the system's
+/// thread limit at about a thousand runners, because nearly every runner has a
+/// call in progress at any time. A call is never retried.
 ///
-/// Thread safety: `Call` and `connections` from any thread.
+/// Thread safety: `Call` and `connections` may be called from any thread.
 class HttpLoop {
  public:
-  /// Takes the reply; runs on the loop's thread and must not block.
+  /// Receives the reply. Runs on the event loop thread and must not block.
   using Done = std::function<void(HttpReply)>;
 
-  /// Throws `std::system_error` if no thread is to be had.
+  /// Throws `std::system_error` if the thread cannot be started.
   explicit HttpLoop(HttpLoopOptions options = {});
-  /// Calls under way are given up; their `Done` is not called.
+  /// Aborts the calls in progress without calling their `Done`.
   ~HttpLoop();
   HttpLoop(const HttpLoop&) = delete;
   HttpLoop& operator=(const HttpLoop&) = delete;
 
-  /// Carries a call out and hands its reply to `done`. A call that could not
-  /// leave within `send_within` of now, since the loop was behind, the process
-  /// stood still or connecting took long, is not sent any more.
+  /// Sends a request and passes the reply to `done`. If sending cannot start
+  /// within `send_within` from now, because the event loop is behind, the
+  /// process was suspended or connecting took too long, the outcome is
+  /// `kNotSent`.
   void Call(HttpCall call, Done done,
             std::optional<Duration> send_within = std::nullopt);
 
-  /// Connections that are open now, kept ones included.
+  /// The number of open connections, including idle ones.
   std::size_t connections() const;
 
  private:
--- a/test/http-loop-test.cc
+++ b/test/http-loop-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of many HTTP calls on one thread.
+/// Tests of the asynchronous HTTP client `HttpLoop`.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -25,10 +25,11 @@
 namespace {
 
 HttpReply CallAndWait(HttpLoop* loop, HttpCall call) {
-  std::promise<HttpReply> told;
-  loop->Call(std::move(call),
-             [&told](HttpReply reply) { told.set_value(std::move(reply)); });
-  return told.get_future().get();
+  std::promise<HttpReply> replied;
+  loop->Call(std::move(call), [&replied](HttpReply reply) {
+    replied.set_value(std::move(reply));
+  });
+  return replied.get_future().get();
 }
 
 std::ptrdiff_t ThreadsOfThisProcess() {
@@ -36,8 +37,8 @@
   return std::distance(begin(threads), end(threads));
 }
 
-/// A socket whose queue alone connects callers: they get no answer unless it is
-/// told to give one.
+/// A listening socket that accepts nothing by itself: callers get connected by
+/// the kernel's backlog, but receive no response.
 class LocalListener {
  public:
   LocalListener() : socket_(socket(AF_INET, SOCK_STREAM, 0)) {
@@ -47,7 +48,7 @@
     socklen_t size = sizeof(address);
     auto* any = reinterpret_cast<sockaddr*>(&address);
     LONGS_EQUAL(0, bind(socket_, any, size));
-    LONGS_EQUAL(0, listen(socket_, kQueue));
+    LONGS_EQUAL(0, listen(socket_, kBacklog));
     LONGS_EQUAL(0, getsockname(socket_, any, &size));
     port_ = ntohs(address.sin_port);
   }
@@ -55,8 +56,8 @@
   LocalListener(const LocalListener&) = delete;
   LocalListener& operator=(const LocalListener&) = delete;
 
-  /// Takes one connection, answers its first call as one that may be kept, and
-  /// closes it.
+  /// Accepts a connection, sends a response that permits keep-alive, and closes
+  /// the connection nevertheless.
   void AnswerOnceAndClose() const {
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     char request[4096];
@@ -69,7 +70,7 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
 
  private:
-  static constexpr int kQueue = 4096;
+  static constexpr int kBacklog = 4096;
   int socket_;
   int port_ = 0;
 };
@@ -84,32 +85,32 @@
   }
 };
 
-TEST(HttpLoop, AnswerIsToldWhole) {
+TEST(HttpLoop, ReplyHoldsTheCompleteResponse) {
   const HttpReply reply = Get(kLongTimeout);
   CHECK(reply.ok());
   STRCMP_EQUAL("whole answer", reply.body.c_str());
   LONGS_EQUAL(1, reply.headers.count("X-Told"));
 }
 
-TEST(HttpLoop, AddressThatIsNoneIsNotCalled) {
+TEST(HttpLoop, CallToMalformedAddressIsNotSent) {
   CHECK(CallAndWait(&loop, MakeCall("nowhere", kLongTimeout)).outcome ==
         HttpOutcome::kNotSent);
 }
 
-TEST(HttpLoop, ClosedPortGetsNothingSent) {
+TEST(HttpLoop, CallToClosedPortIsNotSent) {
   const std::string address = server->address();
   server->Stop();
   CHECK(CallAndWait(&loop, MakeCall(address, kLongTimeout)).outcome ==
         HttpOutcome::kNotSent);
 }
 
-TEST(HttpLoop, NextCallTakesTheKeptConnection) {
+TEST(HttpLoop, NextCallReusesTheIdleConnection) {
   CHECK(Get(kLongTimeout).ok());
   CHECK(Get(kLongTimeout).ok());
   LONGS_EQUAL(1, loop.connections());
 }
 
-TEST(HttpLoop, KeptConnectionThatThePeerClosedIsNotUsed) {
+TEST(HttpLoop, ConnectionClosedByThePeerIsNotReused) {
   LocalListener listener;
   std::promise<void> closed;
   std::thread peer([&] {
@@ -123,7 +124,8 @@
   peer.join();
 }
 
-// Each further kept connection would cost one more call its whole time.
+// Other idle connections to the same server may be silent too. If they stayed
+// in the pool, each would cost another call its whole timeout.
 TEST(HttpLoop, CallAfterOneOnASilentConnectionOpensANewOne) {
   CHECK(Get(kLongTimeout).ok());
   proxy.SilenceAll();
@@ -131,54 +133,54 @@
   CHECK(Get(kLongTimeout).ok());
 }
 
-TEST(HttpLoop, CallBeyondTheMostConnectionsIsNotSent) {
-  const LocalListener mute;
+TEST(HttpLoop, CallBeyondTheConnectionLimitIsNotSent) {
+  const LocalListener silent;
   HttpLoop small({kLongTimeout, 1});
-  small.Call(MakeCall(mute.address(), kLongTimeout), [](const HttpReply&) {});
-  CHECK(CallAndWait(&small, MakeCall(mute.address(), kLongTimeout)).outcome ==
+  small.Call(MakeCall(silent.address(), kLongTimeout), [](const HttpReply&) {});
+  CHECK(CallAndWait(&small, MakeCall(silent.address(), kLongTimeout)).outcome ==
         HttpOutcome::kNotSent);
 }
 
-// The loop is behind: its thread is at something else.
-TEST(HttpLoop, CallThatCouldNotLeaveInTimeIsNotSent) {
+// A slow `Done` of an earlier call blocks the event loop thread.
+TEST(HttpLoop, CallThatCannotBeSentInTimeIsNotSent) {
   CHECK(Get(kLongTimeout).ok());
-  std::promise<HttpReply> told;
+  std::promise<HttpReply> replied;
   loop.Call(MakeCall("nowhere", kLongTimeout), [](const HttpReply&) {
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
   });
   loop.Call(
       MakeCall(proxy.address(), kLongTimeout),
-      [&told](HttpReply reply) { told.set_value(std::move(reply)); },
+      [&replied](HttpReply reply) { replied.set_value(std::move(reply)); },
       Duration(50));
-  CHECK(told.get_future().get().outcome == HttpOutcome::kNotSent);
+  CHECK(replied.get_future().get().outcome == HttpOutcome::kNotSent);
 }
 
-TEST(HttpLoop, CallThatLeavesInTimeIsSent) {
-  std::promise<HttpReply> told;
+TEST(HttpLoop, CallWithinItsSendLimitIsSent) {
+  std::promise<HttpReply> replied;
   loop.Call(
       MakeCall(proxy.address(), kLongTimeout),
-      [&told](HttpReply reply) { told.set_value(std::move(reply)); },
+      [&replied](HttpReply reply) { replied.set_value(std::move(reply)); },
       kLongTimeout);
-  CHECK(told.get_future().get().ok());
+  CHECK(replied.get_future().get().ok());
 }
 
-TEST(HttpLoop, RestingConnectionMakesPlaceForAnother) {
+TEST(HttpLoop, IdleConnectionIsReplacedAtTheConnectionLimit) {
   HttpLoop small({kLongTimeout, 1});
   CHECK(CallAndWait(&small, MakeCall(proxy.address(), kLongTimeout)).ok());
   CHECK(CallAndWait(&small, MakeCall(server->address(), kLongTimeout)).ok());
 }
 
-// With a thread for each, a fleet of 1,100 runners came to the 2,048 threads
-// that a process may have, and its scheduler fell silent.
+// With a thread per call, a scheduler with 1,100 runners reached the limit of
+// 2,048 threads per process and stopped responding.
 TEST(HttpLoop, ThousandsOfCallsUnderWayTakeNoFurtherThreads) {
   constexpr std::size_t kCalls = 2500;
-  const LocalListener mute;
+  const LocalListener silent;
   HttpLoop wide({kLongTimeout, 2 * kCalls});
   const std::ptrdiff_t before = ThreadsOfThisProcess();
   std::atomic<std::size_t> lost = 0;
   std::promise<void> all_lost;
   for (std::size_t i = 0; i < kCalls; ++i) {
-    wide.Call(MakeCall(mute.address(), Duration(300)), [&](const HttpReply&) {
+    wide.Call(MakeCall(silent.address(), Duration(300)), [&](const HttpReply&) {
       if (++lost == kCalls) all_lost.set_value();
     });
   }
