--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP serving by cpp-httplib.
+/// Implementation of `HttpServer` with cpp-httplib.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -22,9 +22,10 @@
 namespace {
 
 constexpr int kMaxPort = 65535;
-/// The library listens with 5. A connection beyond that is dropped without a
-/// word and tried again after a second, then three: as many as all nodes, or a
-/// burst of callers, open at once.
+/// The listen backlog. It must hold the connections that all nodes, or a burst
+/// of callers, open at the same time. The library's backlog is 5; the kernel
+/// silently drops connection attempts beyond the backlog, and clients retry
+/// them only after one second, then three.
 constexpr int kBacklog = 256;
 
 std::chrono::milliseconds ToChrono(Duration duration) {
@@ -36,12 +37,12 @@
 absl::StatusOr<Endpoint> ParseEndpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   Endpoint endpoint;
-  const bool whole = colon != std::string::npos && colon > 0;
-  if (whole) endpoint.host = text.substr(0, colon);
-  if (!whole || !absl::SimpleAtoi(text.substr(colon + 1), &endpoint.port) ||
+  const bool has_host = colon != std::string::npos && colon > 0;
+  if (has_host) endpoint.host = text.substr(0, colon);
+  if (!has_host || !absl::SimpleAtoi(text.substr(colon + 1), &endpoint.port) ||
       endpoint.port < 0 || endpoint.port > kMaxPort) {
     return absl::InvalidArgumentError(
-        absl::StrCat("'", text, "' is no HOST:PORT"));
+        absl::StrCat("'", text, "' is not of the form HOST:PORT"));
   }
   return endpoint;
 }
@@ -65,20 +66,20 @@
 HttpServer::~HttpServer() { Stop(); }
 
 absl::Status HttpServer::Start() {
-  const Endpoint& wanted = options_.endpoint;
+  const Endpoint& requested = options_.endpoint;
   bool bound = false;
-  if (wanted.port == 0) {
-    options_.endpoint.port = server_.bind_to_any_port(wanted.host);
+  if (requested.port == 0) {
+    options_.endpoint.port = server_.bind_to_any_port(requested.host);
     bound = options_.endpoint.port > 0;
   } else {
-    bound = server_.bind_to_port(wanted.host, wanted.port);
+    bound = server_.bind_to_port(requested.host, requested.port);
   }
   if (!bound) {
     return absl::UnavailableError(
-        absl::StrCat("cannot listen on ", wanted.host, ":", wanted.port));
+        absl::StrCat("cannot listen on ", requested.host, ":", requested.port));
   }
-  absl::Status widened = WidenBacklog();
-  if (!widened.ok()) return widened;
+  absl::Status increased = IncreaseBacklog();
+  if (!increased.ok()) return increased;
   std::packaged_task<void()> listen([this] { server_.listen_after_bind(); });
   finished_ = listen.get_future();
   thread_ = std::thread(std::move(listen));
@@ -88,17 +89,17 @@
   return absl::OkStatus();
 }
 
-absl::Status HttpServer::WidenBacklog() {
-  // A socket that listens already only gets another length of its queue.
+absl::Status HttpServer::IncreaseBacklog() {
+  // On a socket that already listens, `listen` only changes the backlog.
   if (listen(socket_, kBacklog) == 0) return absl::OkStatus();
-  return absl::ErrnoToStatus(errno, "cannot lengthen the queue of connections");
+  return absl::ErrnoToStatus(errno, "cannot increase the listen backlog");
 }
 
 int HttpServer::backlog() const {
   tcp_info info{};
   socklen_t length = sizeof(info);
   const int status = getsockopt(socket_, IPPROTO_TCP, TCP_INFO, &info, &length);
-  // For a socket that listens, the kernel tells its queue's length here.
+  // For a listening socket, the kernel reports its backlog in this field.
   return status == 0 ? static_cast<int>(info.tcpi_sacked) : 0;
 }
 
--- a/src/net/stop_signals.cc
+++ b/src/net/stop_signals.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Signal masks.
+/// Implementation of `BlockStopSignals`.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/src/net/stop_signals.h
+++ b/src/net/stop_signals.h
@@ -1,5 +1,5 @@
 /// @file
-/// Stop signals, taken by the main thread alone.
+/// Signal setup for programs that wait for a stop signal.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -11,9 +11,10 @@
 
 namespace limeledge {
 
-/// Blocks SIGTERM and SIGINT for this thread and all that it starts later, and
-/// ignores SIGPIPE. Returns the blocked signals, to be waited for.
-/// Precondition: no other thread was started yet.
+/// Blocks SIGTERM and SIGINT in the calling thread and in all threads that it
+/// starts later, and ignores SIGPIPE. Returns the set of blocked signals, which
+/// the caller can wait for with `sigwait` or `sigtimedwait`. Precondition: no
+/// other thread has been started.
 sigset_t BlockStopSignals();
 
 }  // namespace limeledge
--- a/test/http-server-test.cc
+++ b/test/http-server-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of serving HTTP.
+/// Tests of `HttpServer`.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -41,16 +41,17 @@
   }
 
   void teardown() override {
-    Close();
+    CloseAll();
     server->Stop();
   }
 
-  void Close() {
+  /// Closes all connections of `Connect`.
+  void CloseAll() {
     for (const int socket : sockets) close(socket);
     sockets.clear();
   }
 
-  /// Connects and says nothing. Returns false if that fails at once.
+  /// Opens a connection and sends nothing. Returns false if connecting fails.
   bool Connect() {
     const int connection = socket(AF_INET, SOCK_STREAM, 0);
     sockets.push_back(connection);
@@ -72,20 +73,21 @@
   }
 };
 
-// The library's own queue holds 5; the sixth connection of a burst was dropped,
-// and made a second later.
+// The library's listen backlog is 5. The kernel dropped the sixth connection of
+// a burst, and the client retried it only a second later.
 TEST(HttpServer, ManyConnectionsMayWaitToBeAccepted) {
   CHECK_TRUE(server->backlog() >= 128);
 }
 
-// A process that was asked to stop waited for such a connection until it was
-// killed.
+// `Stop` waits for connections that send nothing. A process that was shutting
+// down used to wait for one until it was killed.
 TEST(HttpServer, ConnectionThatSaysNothingDoesNotHoldAStopUp) {
   CHECK(Connect());
-  // Served after the silent one was taken up.
+  // The server accepts connections in order, so by the time it has answered
+  // this call it has accepted the silent connection.
   CHECK(Get().ok());
   CHECK_FALSE(server->StopWithin(Duration(50)));
-  Close();
+  CloseAll();
   CHECK(server->StopWithin(Duration(10000)));
 }
 
