--- a/src/net/elastic_pool.cc
+++ b/src/net/elastic_pool.cc
@@ -73,8 +73,8 @@
     task();
     lock.lock();
   }
-  // Moved to `ended_threads_` under the lock, so a thread that joins this one
-  // waits only until it has returned.
+  // From here on another thread may join this one. Only a few instructions
+  // remain, so the join hardly blocks.
   ended_threads_.splice(ended_threads_.end(), threads_, self);
   changed_.notify_all();
 }
