--- a/src/net/http_loop.cc
+++ b/src/net/http_loop.cc
@@ -359,12 +359,13 @@
 
   // Deadlines. All calls share one timer.
 
-  void SetDeadline(Exchange* exchange, Duration after) {
+  void SetDeadline(Exchange* exchange, Duration timeout) {
     ClearDeadline(exchange);
-    const TimePoint at = clock_.Now() + std::max(after, kDeadlineResolution);
-    exchange->deadline = deadlines_.emplace(at, exchange);
+    const TimePoint deadline =
+        clock_.Now() + std::max(timeout, kDeadlineResolution);
+    exchange->deadline = deadlines_.emplace(deadline, exchange);
     if (!timer_expiry_.has_value() ||
-        at + kDeadlineResolution <= *timer_expiry_) {
+        deadline + kDeadlineResolution <= *timer_expiry_) {
       ScheduleDeadlineTimer();
     }
   }
@@ -378,11 +379,11 @@
   void ScheduleDeadlineTimer() {
     timer_expiry_.reset();
     if (deadlines_.empty()) return;
-    const TimePoint at =
+    const TimePoint expiry =
         std::max(deadlines_.begin()->first, clock_.Now() + kDeadlineResolution);
-    timer_expiry_ = at;
+    timer_expiry_ = expiry;
     deadline_timer_.expires_after(
-        std::chrono::milliseconds((at - clock_.Now()).ms()));
+        std::chrono::milliseconds((expiry - clock_.Now()).ms()));
     deadline_timer_.async_wait([this](const error_code& failed) {
       // Canceled, because the timer was set again.
       if (failed) return;
--- a/test/http-server-test.cc
+++ b/test/http-server-test.cc
@@ -45,7 +45,7 @@
     server->Stop();
   }
 
-  /// Closes all connections of `Connect`.
+  /// Closes all connections that `Connect` has opened.
   void CloseAll() {
     for (const int socket : sockets) close(socket);
     sockets.clear();
