--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -195,8 +195,9 @@
     runner->AssumePreviousLeaseUntil(ctx.now() +
                                      options_.previous_scheduler_lease);
   }
-  if (info.start_time != runner->incarnation().start_time)
+  if (info.start_time != runner->incarnation().start_time) {
     PollForNewIncarnation(ctx, runner, info.start_time);
+  }
   const bool drained = runner->draining_since().has_value();
   runner->Update(info, ctx.now());
   if (drained || !runner->draining_since().has_value()) return;
--- a/src/dispatch/placement.cc
+++ b/src/dispatch/placement.cc
@@ -123,8 +123,9 @@
   const RunnerInfo& info = candidate.runner->info();
   const StepSpec& step = *request.step;
   if (candidate.on_probation ||
-      (candidate.may_fail_immediately && candidate.tried))
+      (candidate.may_fail_immediately && candidate.tried)) {
     return false;
+  }
   if (request.is_last_attempt && candidate.suspect) return false;
   const bool closed =
       candidate.urgent_rack && request.urgent_racks == UrgentRacks::kClosed;
@@ -141,8 +142,9 @@
       info.labels.count(step.data_rack) == 0) {
     return false;
   }
-  if (candidate.CountSharing(ConflictingSharing(step.sharing())) > 0)
+  if (candidate.CountSharing(ConflictingSharing(step.sharing())) > 0) {
     return false;
+  }
   return MaxTasksOn(request, candidate) > 0;
 }
 
@@ -177,8 +179,9 @@
   if (is_suspect) candidate->on_probation = true;
   free_accelerators_[candidate->rack_number] -= step.need.accelerators;
   if (step.sharing() == Sharing::kBestEffort) ++candidate->best_effort_runs;
-  if (step.sharing() == Sharing::kLatencySensitive)
+  if (step.sharing() == Sharing::kLatencySensitive) {
     ++candidate->latency_sensitive_runs;
+  }
 }
 
 Candidate* CandidatePool::PlaceOne(const PlacementRequest& request) {
@@ -186,8 +189,9 @@
   PlacementCost best_cost;
   const Resources need = request.step->room();
   for (Candidate& candidate : candidates_) {
-    if (!need.Fits(candidate.room) || !MeetsConstraints(candidate, request))
+    if (!need.Fits(candidate.room) || !MeetsConstraints(candidate, request)) {
       continue;
+    }
     const PlacementCost cost = PlacementCostOf(
         candidate, request, free_accelerators_[candidate.rack_number]);
     if (best != nullptr && !(cost < best_cost)) continue;
@@ -231,8 +235,9 @@
   std::vector<std::vector<Candidate*>> racks(free_accelerators_.size());
   std::vector<Candidate*> all;
   for (Candidate& candidate : candidates_) {
-    if (!need.Fits(candidate.room) || !MeetsConstraints(candidate, request))
+    if (!need.Fits(candidate.room) || !MeetsConstraints(candidate, request)) {
       continue;
+    }
     racks[candidate.rack_number].push_back(&candidate);
     all.push_back(&candidate);
   }
@@ -250,8 +255,9 @@
     const bool preferred =
         first.urgent_rack && request.urgent_racks == UrgentRacks::kPreferred;
     std::int64_t risk = 0;
-    for (const Candidate* candidate : chosen)
+    for (const Candidate* candidate : chosen) {
       risk += RiskOf(*candidate, request);
+    }
     const std::tuple<std::int64_t, Fitness, bool, std::int64_t> cost = {
         risk, fitness, !preferred, free_accelerators_[first.rack_number]};
     if (!best.empty() && cost >= best_cost) continue;
@@ -261,8 +267,9 @@
   const bool one_rack_only =
       request.step->same_rack && !request.ignore_locality;
   if (best.empty() && !one_rack_only) best = PlaceWithin(request, all);
-  for (Candidate* candidate : best)
+  for (Candidate* candidate : best) {
     Take(candidate, *request.step, request.is_suspect);
+  }
   return best;
 }
 
--- a/src/dispatch/planner_placement.cc
+++ b/src/dispatch/planner_placement.cc
@@ -27,8 +27,9 @@
   WakeAt(end);
   request.avoided = &pending.step->failed_on;
   for (const Task& task : pending.step->tasks) {
-    if (task.phase == TaskPhase::kAssigned)
+    if (task.phase == TaskPhase::kAssigned) {
       ++request.tasks_per_runner[task.incarnation.runner];
+    }
   }
   if (pending.policy.priority == 0) {
     request.urgent_racks = UrgentRacks::kPreferred;
@@ -80,8 +81,9 @@
   }
   const bool fits =
       plan_.assignments.size() - assigned == pending->waiting.size();
-  if (!fits && !pending->rank.within_guarantee)
+  if (!fits && !pending->rank.within_guarantee) {
     blocked_services_.insert(pending->policy.service);
+  }
 }
 
 void Planner::Pass::RequestAdviceFor(const PendingStep& pending,
@@ -147,8 +149,9 @@
   if (has_suspect) MinimizeWorkAtRisk(request);
   request->is_last_attempt =
       NeedsReliableRunner(*pending, pending->step->gang_failures);
-  if (FinishesSoonerByWaiting(*pending, *request))
+  if (FinishesSoonerByWaiting(*pending, *request)) {
     request->ignore_locality = false;
+  }
   const std::vector<Candidate*> candidates = PlaceAll(*pending, *request);
   if (candidates.empty()) {
     AcquireCapacity(*pending, *request);
--- a/src/dispatch/planner_preemption.cc
+++ b/src/dispatch/planner_preemption.cc
@@ -116,8 +116,9 @@
   if (job == nullptr) return false;
   const StepSpec& step = job->step_spec(name.step);
   if (!step.preemptible()) return false;
-  if (pending.rank.within_guarantee)
+  if (pending.rank.within_guarantee) {
     return jobs_within_guarantee_.count(name.job) == 0;
+  }
   return PolicyOf(*job, catalog_).priority > pending.policy.priority;
 }
 
@@ -260,8 +261,9 @@
     Candidate cleared = candidate;
     cleared.best_effort_runs = 0;
     if (candidate.best_effort_runs == 0 ||
-        !CandidatePool::MeetsConstraints(cleared, request))
+        !CandidatePool::MeetsConstraints(cleared, request)) {
       continue;
+    }
     PreemptionOption option;
     option.candidate = &candidate;
     if (!ListPreemptibleFillers(candidate, &option.victims)) continue;
@@ -312,8 +314,9 @@
       EarliestCompletion(pending, request);
   if (!forecast.has_value()) return false;
   ++reserved_gangs_;
-  for (Candidate* candidate : forecast->candidates)
+  for (Candidate* candidate : forecast->candidates) {
     candidate->room -= pending.spec->room();
+  }
   return true;
 }
 
@@ -338,8 +341,9 @@
     const std::vector<Candidate*>& candidates,
     const PlacementRequest& request) {
   std::vector<std::pair<Duration, Candidate*>> places;
-  for (Candidate* candidate : candidates)
+  for (Candidate* candidate : candidates) {
     AddFuturePlaces(candidate, request, &places);
+  }
   if (static_cast<int>(places.size()) < request.count) return std::nullopt;
   std::stable_sort(
       places.begin(), places.end(),
--- a/src/dispatch/scheduler_pace.cc
+++ b/src/dispatch/scheduler_pace.cc
@@ -71,8 +71,9 @@
 
 void Scheduler::LearnRunTime(Context& ctx, Job* job, const TaskName& name,
                              Run* run) {
-  if (!run->usable_for_estimates || run->percent < options_.min_learn_percent)
+  if (!run->usable_for_estimates || run->percent < options_.min_learn_percent) {
     return;
+  }
   run->usable_for_estimates = false;
   Step& step = job->occurrences()[name.occurrence].steps[name.step];
   if (step.duration_known) return;
--- a/src/dispatch/scheduler_runs.cc
+++ b/src/dispatch/scheduler_runs.cc
@@ -166,8 +166,9 @@
   Job* job = jobs_.Find(name.job);
   if (job == nullptr) return;
   // For a lost run, `CountLoss` compares its duration with earlier losses.
-  if (end != RunEnd::kLeaseExpired)
+  if (end != RunEnd::kLeaseExpired) {
     job->DropOutlivedLosses(name, ran, options_.loss);
+  }
   if (!job->EndRun(name, number, end, checkpoint, MaxAttempts(*job))) return;
   UpdateJobState(ctx, job);
   ApplyLossPolicy(ctx, name);
--- a/src/emulator/emulated_calls.cc
+++ b/src/emulator/emulated_calls.cc
@@ -272,8 +272,9 @@
   }
   RunAt(now_ + options_.network, [this, node, incarnation, changes] {
     Process& later = processes_[node];
-    if (later.incarnation == incarnation && changes.ok)
+    if (later.incarnation == incarnation && changes.ok) {
       Apply(changes, &later.runner_list);
+    }
     Deliver(node, incarnation, changes);
   });
 }
--- a/src/emulator/emulated_runner.cc
+++ b/src/emulator/emulated_runner.cc
@@ -103,8 +103,9 @@
   const TaskTruth& truth = run->truth;
   if (truth.gang_size > 0 &&
       gang_registry_->CountMembers(name, run->number) < truth.gang_size) {
-    if (now_ - run->started_at >= bounds_.gang_wait)
+    if (now_ - run->started_at >= bounds_.gang_wait) {
       End(name, RunEnd::kGangIncomplete);
+    }
     return;
   }
   if (run->broken) {
@@ -225,8 +226,9 @@
 }
 
 OrderOutcome EmulatedRunner::ExecuteStart(const dispatch::StartRun& order) {
-  if (order.target.incarnation.runner != info_.id)
+  if (order.target.incarnation.runner != info_.id) {
     return OrderOutcome::kOtherIncarnation;
+  }
   if (!AcceptsEpoch(order.target.epoch)) return OrderOutcome::kFenced;
   const bool too_late =
       order.until_ms <= clock_ms() && bounds_.lease_from_arrival == Duration(0);
--- a/test/dispatch-simulation.h
+++ b/test/dispatch-simulation.h
@@ -86,8 +86,9 @@
       options.bounds.lease_from_arrival = Duration(5000);
     }
     if (keeps_ids && seed % kGroups == 0) options.entry_lag = Duration(1500);
-    if (keeps_ids && seed % kGroups == 1)
+    if (keeps_ids && seed % kGroups == 1) {
       options.start_time_skew = Duration(-60000);
+    }
     return options;
   }
 
--- a/test/room-fuzz-test.cc
+++ b/test/room-fuzz-test.cc
@@ -47,8 +47,9 @@
     std::vector<std::string> failures = system_.violations();
     for (const auto& [id, watch] : system_.jobs()) {
       const std::string state = system_.StateOf(id);
-      if (state != "done")
+      if (state != "done") {
         failures.push_back("job " + id.value() + " " + state);
+      }
     }
     return failures;
   }
