--- a/src/dispatch/planner_placement.cc
+++ b/src/dispatch/planner_placement.cc
@@ -88,16 +88,18 @@
 
 void Planner::Pass::RequestAdviceFor(const PendingStep& pending,
                                      const PlacementRequest& request) {
-  AdviceRequest wish;
-  wish.step = pending.key;
+  AdviceRequest advice_request;
+  advice_request.step = pending.key;
   std::vector<IncarnationId> full;
   for (const Candidate& candidate : pool_.candidates()) {
     if (!CandidatePool::MeetsConstraints(candidate, request)) continue;
     const bool fits = pending.spec->room().Fits(candidate.room);
-    (fits ? wish.runners : full).push_back(candidate.runner->incarnation());
+    (fits ? advice_request.runners : full)
+        .push_back(candidate.runner->incarnation());
   }
-  wish.runners.insert(wish.runners.end(), full.begin(), full.end());
-  plan_.advice_requests.push_back(std::move(wish));
+  advice_request.runners.insert(advice_request.runners.end(), full.begin(),
+                                full.end());
+  plan_.advice_requests.push_back(std::move(advice_request));
 }
 
 Duration Planner::Pass::ExpectedTimeNear(const PendingStep& pending) const {
