--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,9 +1,10 @@
-# Starts a small system of separate processes on free loopback ports; sourced
-# by scripts and tests. Every process is ended by its id when the shell exits.
+# Starts a small cluster of separate processes on free loopback ports. Scripts
+# and tests source this file. All processes are killed by id when the shell
+# exits.
 #
 #   cluster_start DAEMONS SLOTS SERVICE_MS
 #   cluster_address N            HOST:PORT of daemon N
-#   cluster_daemon N             starts daemon N again (a new process)
+#   cluster_daemon N             starts daemon N again as a new process
 #   CLUSTER_PIDS_DAEMON[N]       its process id
 
 CLUSTER_BIN="${CLUSTER_BIN:-build/release}"
@@ -22,18 +23,18 @@
 }
 trap cluster_stop EXIT
 
-# Prints a port that nothing listens on now.
+# Prints a loopback port that is currently unused.
 cluster_free_port() {
   python3 -c 'import socket; s=socket.socket(); s.bind(("127.0.0.1",0)); print(s.getsockname()[1])'
 }
 
-# Waits until a file has a line that matches. Arguments: file, pattern.
+# Waits up to 15 s for a line that matches. Arguments: file, pattern.
 cluster_wait_line() {
   for _ in $(seq 300); do
     grep -q "$2" "$1" 2>/dev/null && return 0
     sleep 0.05
   done
-  echo "no line '$2' in $1" >&2
+  echo "no line matches '$2' in $1" >&2
   cat "$1" >&2
   return 1
 }
@@ -80,6 +81,6 @@
     cluster_daemon "$i"
     cluster_wait_line "$CLUSTER_LOG" " LL101 ready "
   done
-  # Slots rest after a change of members before they are used.
+  # Daemons do not use slots for some time after a membership change.
   sleep 2.5
 }
