--- a/scripts/nodes.sh
+++ b/scripts/nodes.sh
@@ -1,11 +1,11 @@
-# Starts limeledge-node daemons with the platform's stand-in on free loopback
-# ports; sourced by scripts and tests. Every process is ended by its id when
+# Starts limeledge-node daemons and a stand-in for the platform on free loopback
+# ports. Scripts and tests source this file. All processes are killed by id when
 # the shell exits.
 #
-#   nodes_start BIN_DIR COUNT     a stand-in with 4 runners, and COUNT nodes
-#   nodes_daemon N                starts node N (again)
-#   nodes_call METHOD PATH [BODY] to node ${NODE:-1}; prints "STATUS BODY"
-#   NODES_PIDS[N], NODES_METRICS[N]
+#   nodes_start BIN_DIR COUNT     starts a stand-in (4 runners) and COUNT nodes
+#   nodes_daemon N                starts or restarts node N
+#   nodes_call METHOD PATH [BODY] calls node ${NODE:-1}; prints "STATUS BODY"
+#   NODES_PIDS[N], NODES_METRICS[N]  process id and metrics address of node N
 
 NODES_DIR="$(mktemp -d)"
 declare -A NODES_PIDS NODES_FRONT NODES_METRICS
@@ -58,8 +58,8 @@
   NODES_ALL_PIDS+=($!)
 }
 
-# Tries a command until it succeeds, for at most 30 s unless NODES_TRIES says
-# how often.
+# Retries a command every 100 ms until it succeeds, at most NODES_TRIES times
+# (default 300, about 30 s).
 nodes_until() {
   for _ in $(seq "${NODES_TRIES:-300}"); do
     "$@" >/dev/null 2>&1 && return 0
@@ -82,7 +82,7 @@
   [[ "$(nodes_call GET "$1")" == *"\"state\":\"$2\""* ]]
 }
 
-# The number of the node that schedules.
+# Prints the number of the node that holds the scheduler lease.
 nodes_leader() {
   local number state
   for number in "${!NODES_METRICS[@]}"; do
@@ -92,7 +92,7 @@
   return 1
 }
 
-# Says what is wrong, with the logs; fails.
+# Prints an error message and the end of each log; returns failure.
 nodes_fail() {
   echo "nodes: $1; store '${NODES_STORE:-}'" >&2
   tail -n 30 "$NODES_DIR"/*.log >&2
@@ -102,18 +102,18 @@
 nodes_start() {
   NODES_BIN="$1"
   local count="$2" number
-  # The shell that runs the stand-in empties an old log at a moment of its own:
-  # until then an earlier stand-in's address would be read.
+  # The background shell truncates an existing log at an unpredictable time.
+  # Without the removal, the address of a previous stand-in could be read.
   rm -f "$NODES_DIR/standin.log"
   "$NODES_BIN/limeledge-standin" --config examples/platform-config.json \
     >"$NODES_DIR/standin.log" 2>&1 &
   NODES_ALL_PIDS+=($!)
   nodes_until grep -q 'store on' "$NODES_DIR/standin.log" ||
-    nodes_fail "the stand-in does not start" || return 1
+    nodes_fail "the stand-in did not start" || return 1
   NODES_STORE="$(sed -n 's/store on //p' "$NODES_DIR/standin.log")"
   for number in $(seq "$count"); do
     nodes_settings "$number"
     nodes_daemon "$number"
   done
-  nodes_until nodes_leader || nodes_fail "no node schedules"
+  nodes_until nodes_leader || nodes_fail "no node acquired the scheduler lease"
 }
