--- a/test/findings-test.sh
+++ b/test/findings-test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Every play of the journal that broke a rule is named by a finding, and one
-# that is not is told of. Usage: test/findings-test.sh
+# Checks that a finding refers to every journal run that violated a rule, and
+# that scripts/unnamed-findings reports a run without one.
+# Usage: test/findings-test.sh
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -16,8 +17,8 @@
 END
 echo "scale-1 was played" >"$work/docs/findings/README.md"
 check() { scripts/unnamed-findings --journal "$work/journal" --docs "$work/docs"; }
-if told="$(check)" || [[ "$told" != "planted a-site scale-1 --seed 77: TWICE" ]]; then
-  echo "a play that no finding names is not told of"
+if output="$(check)" || [[ "$output" != "planted a-site scale-1 --seed 77: TWICE" ]]; then
+  echo "a run that no finding refers to is not reported"
   exit 1
 fi
 echo "scale-1, seed 77" >"$work/docs/findings/README.md"
@@ -28,13 +29,13 @@
           {"name": "scale-2 --seed 9", "seed": 9, "rules": {"TWICE": 1}}]}
 END
 echo "scale-1, seed 8, of 4567cdef" >>"$work/docs/findings/README.md"
-if told="$(check)" || [[ "$told" != "two a-site scale-2 --seed 9: TWICE" ]]; then
-  echo "a play hides behind another one of its entry"
+if output="$(check)" || [[ "$output" != "two a-site scale-2 --seed 9: TWICE" ]]; then
+  echo "a finding for one run also covers another run of its entry"
   exit 1
 fi
 rm "$work/journal/two.json"
 echo "0123*: a text that stands nowhere" >"$work/docs/findings/days.txt"
 if check 2>/dev/null; then
-  echo "a pattern may point nowhere"
+  echo "a pattern whose text is on no page is accepted"
   exit 1
 fi
