--- a/examples/embed/claims.cc
+++ b/examples/embed/claims.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What to do with a request whose claim exists already.
+/// Decides how to handle a request whose claim already exists.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/examples/embed/commit_queue.cc
+++ b/examples/embed/commit_queue.cc
@@ -1,5 +1,5 @@
 /// @file
-/// A lost answer is settled by a write of the fence row.
+/// Resolves a transaction whose reply was lost by writing the fence row.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/examples/embed/lease.cc
+++ b/examples/embed/lease.cc
@@ -1,5 +1,5 @@
 /// @file
-/// A holder that was paused past its lease wakes up without it.
+/// A holder that was paused beyond its lease no longer holds it on resuming.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/examples/embed/membership.cc
+++ b/examples/embed/membership.cc
@@ -1,5 +1,5 @@
 /// @file
-/// A heartbeat that says 'leaving' goes before a list that lags.
+/// A heartbeat that reports 'leaving' takes precedence over a stale list.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/examples/embed/ownership.cc
+++ b/examples/embed/ownership.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Two members agree on who owns a resource, by epochs in a table.
+/// Two members agree on the owner of a resource through epochs in a table.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,7 +16,8 @@
   const limeledge::OwnershipOptions options;
   limeledge::Ownership mine(InstanceId("a"), 1, options);
   limeledge::Ownership theirs(InstanceId("b"), 1, options);
-  // "a" claims; a real program writes the proposal on condition of the row.
+  // "a" claims the resource. A real program writes the proposal only if the row
+  // is unchanged.
   limeledge::OwnershipRecord row = mine.Proposal(OwnershipAction::kClaim);
   row.version = limeledge::Revision(1);
   mine.OnWritten(TimePoint(0), row);
--- a/examples/embed/retry_budget.cc
+++ b/examples/embed/retry_budget.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Retries stay a share of first attempts.
+/// Limits retries to a fraction of first attempts.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/examples/embed/settings_follower.cc
+++ b/examples/embed/settings_follower.cc
@@ -1,5 +1,5 @@
 /// @file
-/// An older version that arrives late changes nothing.
+/// Ignores an older settings version that arrives late.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
