--- a/test/main.cc
+++ b/test/main.cc
@@ -8,8 +8,8 @@
 #include "CppUTest/MemoryLeakWarningPlugin.h"
 
 int main(int argc, char** argv) {
-  // RapidCheck and protocol libraries keep caches; the sanitizers' build looks
-  // for real leaks.
+  // RapidCheck and the protocol libraries keep caches that CppUTest would
+  // report as leaks. The sanitizer builds detect real leaks.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(argc, argv);
 }
