--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -81,6 +81,7 @@
     cluster_daemon "$i"
     cluster_wait_line "$CLUSTER_LOG" " LL101 ready "
   done
-  # Daemons do not use slots for some time after a membership change.
+  # After a membership change a daemon waits before it uses a slot that is new
+  # to it, because the previous owner may still use that slot.
   sleep 2.5
 }
