--- a/soak/balancer.cc
+++ b/soak/balancer.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Rounds of asking nodes, and picks among them.
+/// Readiness polling and round-robin selection of nodes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/soak/balancer.h
+++ b/soak/balancer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses the nodes that callers call, as a load balancer does.
+/// Selects the node for each call, as a load balancer does.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,21 +16,22 @@
 
 namespace limeledge::soak {
 
-/// Asks nodes whether they are ready, and spreads calls over those that are.
+/// Polls the readiness of all nodes and distributes calls over the ready ones.
 ///
 /// Thread safety: all methods from any thread.
 class Balancer {
  public:
-  /// Time between two rounds, and the longest wait for a node's answer.
+  /// Polling interval, and the timeout of each readiness request.
   static constexpr Duration kInterval{400};
 
   /// `nodes` outlives this object and does not change. Precondition: there is
   /// at least one.
   explicit Balancer(const Nodes* nodes) : nodes_(nodes) {}
 
-  /// Asks each node once.
+  /// Polls every node once.
   void Refresh();
-  /// The next node in turn of those that were ready, or of all if none was.
+  /// Returns the next ready node in round-robin order, or the next of all nodes
+  /// if none was ready.
   NodeProcess* Pick();
 
  private:
@@ -38,7 +39,7 @@
   HttpClient http_;
   std::mutex mutex_;
   std::vector<NodeProcess*> ready_;
-  /// Counts the picks.
+  /// Number of calls of `Pick`.
   std::size_t next_ = 0;
 };
 
--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Load, and the checks of answers.
+/// Load generation and response checks.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,17 +17,17 @@
 
 namespace {
 
-// Time between two rounds of the prober of the configuration.
+// Interval between two probes of the configuration.
 constexpr Duration kProbePause{150};
 constexpr int kSubmitTries = 8;
 constexpr Duration kRetryPause{400};
 constexpr char kForeignKey[] = "a-key-of-nobody";
 constexpr double kForeignKeyShare = 0.04;
 constexpr double kSentAgainShare = 0.1;
-// A connection that is opened early is used within this: below the time after
-// which nodes close one that is not used.
+// Maximum time between opening a connection and using it: less than the idle
+// timeout after which nodes close a connection.
 constexpr int kLongestHoldMs = 1500;
-// Keeps the seeds of callers of different runs apart.
+// Gives the callers of different runs distinct seeds.
 constexpr std::uint64_t kSeedsPerRun = 1000;
 constexpr double kMsPerSecond = 1000;
 
@@ -143,7 +143,7 @@
 void Callers::CheckKey(JobMaker* maker) {
   const DraftJob job = maker->Make();
   const NodeReply reply = Call("POST", job.path, job.body, kForeignKey);
-  // Whether the call counts as answered or not.
+  // Checked for every outcome of the call, answered or not.
   if (reply.http.status == kStatusOk) {
     platform_->Violate(
         absl::StrCat("a key that never held was taken for ", job.path));
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -1,5 +1,5 @@
 /// @file
-/// Callers of a soak: what they send, and what they hold answers against.
+/// Simulated callers of a soak test, and the checks of the responses they get.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -23,7 +23,7 @@
 
 namespace limeledge::soak {
 
-/// Numbers of one run, for its report.
+/// Call counters of one run, for its report.
 struct CallerCounts {
   std::atomic<int> submitted = 0;
   std::atomic<int> accepted = 0;
@@ -33,59 +33,62 @@
   std::atomic<int> held_calls = 0;
 };
 
-/// One call that handed a job in and was answered.
+/// Send time and latency of an accepted submit.
 struct SubmitTiming {
   TimePoint at;
   Duration took;
 };
 
-/// Threads that hand jobs in, ask for them and cancel them, at nodes that the
-/// balancer takes for ready, and report what breaks a promise.
+/// Runs threads that submit, query and cancel jobs at the nodes that the
+/// balancer considers ready, and reports violations of invariants.
 ///
 /// Thread safety: `Start` and `Stop` from one thread; the rest from any.
 class Callers {
  public:
-  /// All that is given outlives this object.
+  /// All arguments must outlive this object.
   Callers(const Experiment& experiment, std::uint64_t seed,
           SoakPlatform* platform, Nodes* nodes, const FaultLog* faults);
   ~Callers();
 
   void Start();
-  /// Ends the threads that make load; nothing new is handed in.
+  /// Joins all threads; no more jobs are submitted.
   void Stop();
 
-  /// Hands a job in until it is taken or was refused too often. Returns true
-  /// if it was accepted.
+  /// Submits a job, with retries, until it is accepted or the attempts are used
+  /// up; a job that gives up is not retried after a refusal. Returns true if
+  /// the job was accepted.
   bool Submit(const DraftJob& job);
-  /// The job's state; "gone" if there is none, empty without an answer.
+  /// Returns the state of the job; "gone" if it is unknown, empty without a
+  /// response.
   std::string StateOf(const std::string& path);
 
-  /// Paths of all jobs that were sent.
+  /// Returns the paths of all submitted jobs.
   std::map<JobId, std::string> paths();
   const CallerCounts& counts() const { return counts_; }
   std::vector<SubmitTiming> timings();
 
  private:
-  // What the threads do until `Stop`.
+  // Thread bodies; each runs until `Stop`.
   void Balance();
   void ProbeConfig();
   void MakeLoad(std::uint64_t seed);
-  /// Opens connections, and sends on them only after a while.
+  /// Opens connections and sends a request on each after a random delay.
   void HoldConnections(std::uint64_t seed);
 
-  /// Hands jobs in one after the other, and does with all of them what their
-  /// caller may do.
+  /// Submits jobs one after the other, resubmits and cancels some at random,
+  /// and checks that all accepted jobs are known.
   void Live(const std::vector<DraftJob>& jobs, JobMaker* maker);
-  /// Cancels a job, again until that is answered.
+  /// Cancels a job, with retries until the cancel is acknowledged or the
+  /// attempts are used up.
   void Cancel(const DraftJob& job);
-  /// Sends a call with a key that never held.
+  /// Submits a job with a key that was never valid.
   void CheckKey(JobMaker* maker);
-  /// Hands an accepted job in again.
+  /// Submits an accepted job again.
   void CheckSentAgain(const DraftJob& job);
 
-  /// Notes a job that is about to be sent.
+  /// Records a job before it is sent.
   void NoteSent(const DraftJob& job);
-  /// Notes an answer that accepted a job.
+  /// Records the latency of an accepted submit.
   void NoteAccepted(TimePoint sent_at);
   /// Calls the node that the balancer picks.
   NodeReply Call(const std::string& method, const std::string& path,
@@ -101,7 +104,7 @@
   SteadyClock clock_;
   std::atomic<bool> stopping_ = false;
   CallerCounts counts_;
-  /// Guards the paths and the timings.
+  /// Guards `paths_` and `timings_`.
   std::mutex mutex_;
   std::map<JobId, std::string> paths_;
   std::vector<SubmitTiming> timings_;
--- a/soak/fault_log.cc
+++ b/soak/fault_log.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Spans of troubles.
+/// Queries over the recorded fault spans.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
--- a/soak/fault_log.h
+++ b/soak/fault_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which troubles were on when, to tell what they excuse.
+/// Records when faults were active, to tell which violations they excuse.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -15,8 +15,8 @@
 
 namespace limeledge::soak {
 
-/// Subjects of troubles, beside the names of nodes: the store, the link of a
-/// node to the store, and a runner by its place.
+/// Subjects of faults other than nodes: the store, the link from a node to the
+/// store, and a runner by its index.
 inline constexpr char kStoreSubject[] = "store";
 inline std::string StoreLinkOf(const std::string& node) {
   return node + ".store";
@@ -25,36 +25,36 @@
   return "runner-" + std::to_string(place);
 }
 
-/// What a span was, by what it excuses.
+/// Kind of a span, which determines what it excuses.
 enum class TroubleSort {
-  /// Excuses whatever it may explain.
+  /// An injected fault; excuses every failure that it may explain.
   kFault,
-  /// A runner ended that had said that it leaves.
+  /// A runner ended after it had announced that it leaves.
   kRunnerLeft,
-  /// A node was asked to stop, or came up: calls at it are to be answered
-  /// nevertheless, and scheduling goes on a while later.
+  /// A node was asked to stop, or started. Calls to the node must still be
+  /// answered, and scheduling resumes after a while.
   kNodeChange,
-  /// Orders that were not answered may be carried out.
+  /// Unanswered orders may still be carried out.
   kLateOrders,
 };
 
-/// Remembers the spans of all troubles of a run.
+/// Records the time spans of all faults of a run.
 ///
 /// Thread safety: all methods from any thread.
 class FaultLog {
  public:
-  /// A trouble of `subject` from `from` to `to`.
+  /// Records a fault of `subject` from `from` to `to`.
   void Note(const std::string& subject, TimePoint from, TimePoint to,
             TroubleSort sort = TroubleSort::kFault);
-  /// True if no fault or leaving of the subject touches the time from `from`
-  /// to `to`.
+  /// Returns true if no fault and no announced leave of the subject overlaps
+  /// the time from `from` to `to`.
   bool IsCalm(const std::string& subject, TimePoint from, TimePoint to) const;
-  /// The same for all subjects.
+  /// Like `IsCalm`, for all subjects.
   bool AllCalm(TimePoint from, TimePoint to) const;
-  /// True if no fault and no change of nodes touches that time; runners may
+  /// Returns true if no fault and no node change overlaps the time; runners may
   /// have left.
   bool IsSteady(TimePoint from, TimePoint to) const;
-  /// True if orders may have been carried out late in that time.
+  /// Returns true if orders may have been carried out late in that time.
   bool MayOrdersComeLate(TimePoint from, TimePoint to) const;
 
  private:
--- a/soak/held_call.cc
+++ b/soak/held_call.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Calls over plain sockets.
+/// HTTP calls over plain sockets.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -29,7 +29,8 @@
 constexpr char kHeadEnd[] = "\r\n\r\n";
 constexpr char kLengthField[] = "Content-Length: ";
 
-/// True once the head and as many bytes as it names are there.
+/// Returns true if the response has its header and the body length that it
+/// declares.
 bool IsWhole(const std::string& answer) {
   const std::size_t head = answer.find(kHeadEnd);
   if (head == std::string::npos) return false;
@@ -85,7 +86,7 @@
   std::array<char, kBufferBytes> buffer{};
   while (!IsWhole(answer) && clock.Now() < until) {
     pollfd wait = {socket_, POLLIN, 0};
-    // A negative time would wait for ever.
+    // poll() waits without limit if the timeout is negative.
     const auto left = std::max<std::int64_t>(0, (until - clock.Now()).ms());
     poll(&wait, 1, static_cast<int>(left));
     const ssize_t got =
--- a/soak/held_call.h
+++ b/soak/held_call.h
@@ -1,5 +1,5 @@
 /// @file
-/// A call on a connection that was opened a while before.
+/// An HTTP call on a connection that was opened some time before.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -13,26 +13,28 @@
 
 namespace limeledge::soak {
 
-/// Opens a connection at once and uses it later, as clients do with kept
-/// connections while a process stops.
+/// Opens a connection immediately and uses it later, as clients with keep-alive
+/// connections do while a server shuts down.
 ///
 /// Thread safety: none; use it from one thread.
 class HeldCall {
  public:
-  /// `address` is "HOST:PORT" of loopback.
+  /// `address` is "HOST:PORT" on loopback.
   explicit HeldCall(const std::string& address);
   ~HeldCall();
   HeldCall(const HeldCall&) = delete;
   HeldCall& operator=(const HeldCall&) = delete;
 
-  /// Sends a whole GET. Returns false if the connection was closed before.
+  /// Sends a complete GET request. Returns false if the connection was already
+  /// closed.
   bool Send(const std::string& host, const std::string& key,
             const std::string& path);
-  /// Waits for a whole answer.
+  /// Returns true if a complete response arrives within `timeout`.
   bool IsAnswered(Duration timeout);
 
  private:
-  /// True if the other side has closed while nothing was asked.
+  /// Returns true if the peer has closed the connection before a request was
+  /// sent.
   bool IsClosed() const;
 
   int socket_ = -1;
--- a/soak/job_maker.cc
+++ b/soak/job_maker.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Drawing jobs.
+/// Random generation of jobs.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -38,7 +38,7 @@
   return json;
 }
 
-/// What the stand-in's runners read of a task.
+/// Task payload that the emulated runners read.
 std::string EncodeTruth(const emulator::TaskTruth& truth) {
   Json::Value json;
   json["work_ms"] = Json::Int64(truth.work.ms());
@@ -81,7 +81,8 @@
   emulator::TaskTruth truth;
   truth.work = Duration(Pick(200, experiment_.longest_work.ms()));
   truth.always_fails = Chance(experiment_.failing_share);
-  // No draw where there are none, so that seeds keep their jobs.
+  // Draws no random number if the share is 0, so that existing seeds still give
+  // the same jobs.
   const bool crashes =
       experiment_.crashing_share > 0 && Chance(experiment_.crashing_share);
   if (crashes) truth.crashes_after = Duration(Pick(5, truth.work.ms()));
--- a/soak/job_maker.h
+++ b/soak/job_maker.h
@@ -1,5 +1,5 @@
 /// @file
-/// Jobs that a soak hands in, drawn from a seed.
+/// Generates the jobs of a soak test from a seed.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -18,31 +18,31 @@
 
 namespace limeledge::soak {
 
-/// A job with all that its caller sends.
+/// A job together with everything that its caller sends.
 struct DraftJob {
   dispatch::JobSpec spec;
   std::vector<emulator::TaskTruth> truths;
-  /// The queue's path prefix and the id.
+  /// Path prefix of the queue, followed by the job's id.
   std::string path;
   std::string body;
   bool urgent = false;
-  /// Its caller goes away at the first refusal, and never comes back: it must
-  /// not run then.
+  /// The caller gives up at the first refusal and does not retry; a refused job
+  /// must not run.
   bool gives_up = false;
 };
 
-/// Makes jobs: the same seed gives the same jobs.
+/// Generates jobs; the same seed gives the same jobs.
 ///
 /// Thread safety: none; use it from one thread.
 class JobMaker {
  public:
   JobMaker(const Experiment& experiment, std::uint64_t seed);
 
-  /// A job of any sort.
+  /// Returns a job of a random kind.
   DraftJob Make();
-  /// A gang in the urgent queue.
+  /// Returns a gang job for the urgent queue.
   DraftJob MakeUrgentGang(int members, int accelerators);
-  /// Single tasks in the ordinary queue.
+  /// Returns a job of single tasks for the ordinary queue.
   DraftJob MakeFiller(int tasks, int accelerators, Duration work);
 
   bool Chance(double share);
--- a/soak/node_client.cc
+++ b/soak/node_client.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Calls at nodes.
+/// HTTP calls to nodes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -12,11 +12,11 @@
 
 namespace {
 
-// A process that was just started does not listen yet.
+// A process that has just started does not listen immediately.
 constexpr Duration kStartTime{4000};
-// What reaches a process this late before its end may not have been read.
+// A process may not read a request that arrives this shortly before it ends.
 constexpr Duration kLastMoments{200};
-// A fault is held to explain lost answers for so long after its end.
+// A fault excuses lost responses for this long after its end.
 constexpr Duration kTroubleEcho{4000};
 
 }  // namespace
@@ -50,7 +50,7 @@
                         (!incarnation.ended_at.has_value() ||
                          sent_at + kLastMoments <= *incarnation.ended_at);
     if (!served || incarnation.killed) continue;
-    // Its end may not have been noted yet.
+    // The end of the process may not have been recorded so far.
     const bool ends =
         incarnation.stop_asked_at.has_value() && now - sent_at <= kLastMoments;
     if (ends) continue;
--- a/soak/node_client.h
+++ b/soak/node_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Calls at nodes, and the check that none of them is cut off.
+/// Calls to nodes, and the check that nodes answer every call they receive.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,7 +16,7 @@
 
 namespace limeledge::soak {
 
-/// Statuses of the callers' protocol that the soak tells apart.
+/// HTTP statuses that the soak test distinguishes.
 inline constexpr int kStatusOk = 200;
 inline constexpr int kStatusUnknownKey = 401;
 inline constexpr int kStatusNoRoute = 404;
@@ -25,37 +25,37 @@
 inline constexpr int kStatusTooMany = 429;
 inline constexpr int kStatusNotTaken = 503;
 
-/// How long callers wait for an answer.
+/// Response timeout of callers.
 inline constexpr Duration kCallTimeout{5000};
 
-/// Outcome of a call at one node.
+/// Result of one call to a node.
 struct NodeReply {
   HttpReply http;
   TimePoint sent_at;
 
-  /// True if the node answered with this status.
+  /// Returns true if the node answered with this status.
   bool Is(int status) const {
     return http.outcome == HttpOutcome::kAnswered && http.status == status;
   }
 };
 
-/// Calls nodes as callers do, and reports calls that a node had and did not
-/// answer though no fault excuses it.
+/// Calls nodes as callers do, and reports calls that a node received but did
+/// not answer although no fault excuses it.
 ///
 /// Thread safety: all methods from any thread.
 class NodeClient {
  public:
-  /// All that is given outlives this object.
+  /// All arguments must outlive this object.
   NodeClient(SoakPlatform* platform, const FaultLog* faults)
       : platform_(platform), faults_(faults) {}
 
-  /// Calls the node through the link that faults may hit; returns after
-  /// `kCallTimeout` at the latest.
+  /// Calls the node through its proxy, which may inject faults; returns within
+  /// `kCallTimeout`.
   NodeReply Call(NodeProcess* node, const std::string& method,
                  const std::string& path, const std::string& body,
                  const std::string& key);
-  /// Reports a call that got no answer, unless a fault or the node's end
-  /// excuses it. `what` names the call.
+  /// Reports a call without a response, unless a fault or the end of the node
+  /// excuses it. `what` describes the call.
   void CheckCut(NodeProcess* node, TimePoint sent_at, const std::string& what);
 
  private:
--- a/soak/tcp_proxy.cc
+++ b/soak/tcp_proxy.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The proxy's loop over its connections.
+/// The proxy's event loop.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -28,7 +28,7 @@
 constexpr int kPollMs = 2;
 constexpr int kIdlePollMs = 10;
 constexpr std::size_t kChunkBytes = 16384;
-// A receiver that does not read holds the sender up.
+// Limits the buffered data: a receiver that does not read blocks the sender.
 constexpr std::size_t kMostChunks = 64;
 
 sockaddr_in LoopbackAddress(int port) {
@@ -46,7 +46,7 @@
   fcntl(socket, F_SETFD, FD_CLOEXEC);
 }
 
-/// Closes with a reset in place of an orderly end.
+/// Closes a socket with a reset (RST) instead of an orderly shutdown.
 void Reset(int socket) {
   const linger now = {1, 0};
   setsockopt(socket, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
@@ -155,7 +155,7 @@
   const sockaddr_in address = LoopbackAddress(server_.port);
   mutex_.unlock();
   const int server = socket(AF_INET, SOCK_STREAM, 0);
-  // A connection on loopback is made or refused at once.
+  // A connect on loopback succeeds or fails immediately.
   const bool connected =
       connect(server, reinterpret_cast<const sockaddr*>(&address),
               sizeof(address)) == 0;
@@ -195,11 +195,11 @@
 }
 
 void TcpProxy::ServeLate(Link* link) {
-  // Its caller may reset it once it has given the call up.
+  // The caller may reset the connection after it has given up the call.
   if (!Receive(&link->requests, Duration(0))) link->requests.ended = true;
   if (!link->reconnected) {
     if (link->requests.chunks.front().due > clock_.Now()) return;
-    // The server closes connections on which nothing comes.
+    // The server closes idle connections.
     close(link->requests.to);
     link->requests.to = link->answers.from = Connect();
     link->answers.ended = false;
@@ -228,7 +228,7 @@
   }
   link->late = late && !link->requests.chunks.empty();
   if (link->late) {
-    // Nothing is read from the server until the request is delivered.
+    // Data from the server is not read until the request is delivered.
     link->answers.ended = true;
     return;
   }
--- a/soak/tcp_proxy.h
+++ b/soak/tcp_proxy.h
@@ -21,21 +21,22 @@
 
 namespace limeledge::soak {
 
-/// What is wrong with a link.
+/// Faults that a proxy injects into a link.
 struct LinkFault {
-  /// Added to the way of each chunk of bytes, in both directions.
+  /// Delay added to each chunk of bytes, in both directions.
   Duration delay;
   /// Bytes towards the server, or back, are held until the fault ends.
   bool holds_requests = false;
   bool holds_answers = false;
-  /// Requests that come meanwhile get no answer, and are delivered so much
-  /// later, past those that come on other connections; 0 for none.
+  /// Requests that arrive during the fault get no response and are delivered
+  /// this much later, so that requests on other connections overtake them; 0
+  /// disables this.
   Duration late_by;
-  /// New connections are reset at once.
+  /// New connections are reset immediately.
   bool refuses = false;
 };
 
-/// Passes connections on to one server.
+/// Forwards connections to one server.
 ///
 /// Thread safety: `Start` once and `Stop` from one thread; the rest from any.
 class TcpProxy {
@@ -50,18 +51,18 @@
   void Stop();
   std::string address() const;
 
-  /// New connections go to another server from now on.
+  /// Redirects new connections to another server.
   void Redirect(const Endpoint& server);
 
   void SetFault(const LinkFault& fault);
-  /// Resets all connections that are open now.
+  /// Resets all open connections.
   void ResetAll();
-  /// Nothing passes any more on the connections that are open now, and nobody
-  /// is told; new ones work.
+  /// Silently drops all further data on the open connections, without closing
+  /// them; new connections work.
   void SilenceAll();
 
  private:
-  /// Bytes on their way, and when they may arrive.
+  /// Bytes in transit, and the earliest time of their delivery.
   struct Chunk {
     TimePoint due;
     std::string bytes;
@@ -72,7 +73,7 @@
     int from = -1;
     int to = -1;
     std::deque<Chunk> chunks;
-    /// The sender has closed its side, and the receiver was told.
+    /// The sender has closed its side, and this was passed on to the receiver.
     bool ended = false;
     bool closed = false;
   };
@@ -81,27 +82,28 @@
     Flow answers;
     bool broken = false;
     bool silent = false;
-    /// Its request is delivered late, on a connection of its own.
+    /// The request is delivered late, on a separate connection.
     bool late = false;
     bool reconnected = false;
   };
 
   void Loop();
-  /// Returns once something came, or after a while.
+  /// Waits until a socket is ready or a timeout passes.
   void Wait();
-  /// Does what was asked for once, and returns the fault that is on.
+  /// Carries out pending one-time requests (reset, silence) and returns the
+  /// active fault.
   LinkFault TakeFault();
   void Accept(const LinkFault& fault);
-  /// A new connection to the server; -1 if there is none.
+  /// Opens a connection to the server; returns -1 on failure.
   int Connect();
   void Serve(Link* link, const LinkFault& fault);
-  /// Swallows what comes on a silent connection, until its caller gives up.
+  /// Discards data on a silenced connection until the caller closes it.
   void Swallow(Link* link);
-  /// Loses answers, and delivers requests once they are due.
+  /// Drops responses, and delivers delayed requests when they are due.
   void ServeLate(Link* link);
-  /// Takes in what came. Returns false if the connection broke.
+  /// Reads available data. Returns false if the connection broke.
   bool Receive(Flow* flow, Duration delay);
-  /// Sends what is due. Returns false if the connection broke.
+  /// Sends the data that is due. Returns false if the connection broke.
   bool Deliver(Flow* flow);
   static void Close(Link* link, bool reset);
 
