--- a/soak/cancel_watch.cc
+++ b/soak/cancel_watch.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Runs and starts of cancelled jobs against the time.
+/// Checks the runs and starts of cancelled jobs against their time bounds.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Within this after the acknowledgement a run has to be seen as ended.
+/// A run must be seen as ended within this time after the acknowledgement.
 constexpr Duration kRunBound = CancelWatch::kCancelBound +
                                CancelWatch::kStopTime +
                                CancelWatch::kSampleSlack;
--- a/soak/cancel_watch.h
+++ b/soak/cancel_watch.h
@@ -21,8 +21,8 @@
 /// A task that runs on a runner that is up.
 using RunPlace = std::pair<RunnerId, dispatch::TaskName>;
 
-/// How long after the acknowledgement of their cancelling jobs still ran or
-/// were started: the longest times, and those with no fault around them.
+/// Longest times after the acknowledgement of a cancel at which jobs still ran
+/// or were started: over all jobs, and without a fault nearby.
 struct CancelTimes {
   int acknowledged = 0;
   Duration last_run;
@@ -31,36 +31,41 @@
   Duration last_start_calm;
 };
 
-/// Holds what runners run against the cancels that callers saw acknowledged.
-/// While no fault is near, a job is not started later than `kCancelBound` after
-/// that, and does not run later than `kCancelBound` and `kStopTime` after it; a
-/// run that a runner began late is given this from `kDisturbed` after its
-/// start. Once such a stretch of calm has passed, no start of the job follows
-/// at all.
+/// Checks the runs of all runners against the acknowledged cancels. While no
+/// fault is near, a job must not start later than `kCancelBound` after the
+/// acknowledgement, and must not run later than `kCancelBound` plus `kStopTime`
+/// after it. For a run that a runner started late, this time counts from
+/// `kDisturbed` after its start. After one such fault-free period, the job must
+/// not start at all.
 ///
 /// Thread safety: none; callers lock.
 class CancelWatch {
  public:
-  /// Nothing of a cancelled job is started later than this: the users' bound.
+  /// No task of a cancelled job is started later than this; required by the
+  /// users.
   static constexpr Duration kCancelBound{3000};
-  /// What a stand-in's runner takes to stop a run, as in
+  /// Time that an emulated runner takes to stop a run, as in
   /// `emulator::RunnerBounds`.
   static constexpr Duration kStopTime{300};
-  /// Runs are sampled this late at most: every 50 ms, on a busy machine.
+  /// Maximum sampling delay: runs are sampled every 50 ms, and later on a busy
+  /// machine.
   static constexpr Duration kSampleSlack{200};
-  /// A fault counts as near for this long after it: the users' bound.
+  /// A fault counts as near for this long after its end; required by the users.
   static constexpr Duration kDisturbed{3000};
 
-  /// `faults` outlives this object; `violate` is called with each violation.
+  /// `faults` must outlive this object; `violate` is called with each
+  /// violation.
   CancelWatch(const FaultLog* faults,
               std::function<void(const std::string&)> violate)
       : faults_(faults), violate_(std::move(violate)) {}
 
-  /// A caller was told that the job is cancelled. Only the first time counts.
+  /// Records that a cancel was acknowledged. Only the first call for a job
+  /// counts.
   void RecordCancellation(const JobId& job, TimePoint at);
-  /// A runner carried an order out to begin this run, or has it already.
+  /// Records that a runner carried out an order to start this run, or already
+  /// had the run.
   void RecordStart(const RunPlace& place, int run, TimePoint at);
-  /// All that runs at this time. Times do not go back.
+  /// Checks all tasks that run at `now`. `now` must not decrease between calls.
   void NoteRunning(const std::vector<RunPlace>& running, TimePoint now);
 
   CancelTimes times() const { return times_; }
@@ -68,7 +73,7 @@
  private:
   struct CancelledJob {
     TimePoint at;
-    /// A stretch of calm has passed in which it had to end.
+    /// A fault-free period in which the job had to end has passed.
     bool settled = false;
   };
   struct StartedRun {
@@ -77,14 +82,14 @@
     bool reported = false;
   };
 
-  /// True if no fault was near between the two times.
+  /// Returns true if no fault was near between the two times.
   bool IsCalm(TimePoint from, TimePoint to) const;
-  /// The same, and no order that lost its answer may have come.
+  /// Like `IsCalm`, and no late order may have been carried out.
   bool IsCalmForStarts(TimePoint from, TimePoint to) const;
-  /// When the time begins in which the run has to end.
+  /// Returns the time from which the bound for the end of the run counts.
   TimePoint DueFrom(const CancelledJob& job, const StartedRun& run) const;
   void CheckRun(const RunPlace& place, const CancelledJob& job, TimePoint now);
-  /// Marks the jobs of which nothing may be started any more.
+  /// Marks the jobs that must not start any more.
   void Settle(TimePoint now);
 
   const FaultLog* faults_;
--- a/soak/config_prober.cc
+++ b/soak/config_prober.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Probes of the configuration's routes.
+/// Probes the routes of the configuration.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,10 +14,10 @@
 
 namespace {
 
-// A configuration is in force everywhere within this.
+// A new configuration must be in effect on all nodes within this time.
 constexpr Duration kConfigBound{10000};
-// A node that was seen to know a version does not act by an older one after
-// this: some calls are under way while it learns.
+// A node that has applied a version must not use an older one later than this;
+// calls may be in progress while it applies the version.
 constexpr Duration kRegressSlack{2000};
 
 }  // namespace
@@ -49,7 +49,7 @@
   }
   if (!reply.Is(kStatusNoRoute) || node->lives().size() != incarnation) return;
   if (!checks_times_) return;
-  // Versions that came during the call may have dropped the route again.
+  // Versions written during the call may have dropped the route again.
   if (platform_->newest_config().version > newest.version + 1) return;
   const bool reverted = seen->version >= newest.version &&
                         reply.sent_at > seen->at + kRegressSlack;
--- a/soak/config_prober.h
+++ b/soak/config_prober.h
@@ -1,5 +1,5 @@
 /// @file
-/// Checks that each node acts by the newest configuration.
+/// Checks that each node uses the newest configuration.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,33 +17,32 @@
 
 namespace limeledge::soak {
 
-/// Asks nodes for routes that come and go with the configuration, and reports
-/// a node that goes back to an older version or does not learn a new one in
-/// time.
+/// Requests routes that configuration versions add and drop, and reports a node
+/// that reverts to an older version or does not apply a new one in time.
 ///
 /// Thread safety: none; use it from one thread.
 class ConfigProber {
  public:
-  /// All that is given outlives this object; `nodes` does not change.
+  /// All arguments must outlive this object; `nodes` must not change.
   ConfigProber(const Experiment& experiment, SoakPlatform* platform,
                const Nodes* nodes, const FaultLog* faults, NodeClient* client);
 
-  /// Asks each node once.
+  /// Probes every node once.
   void ProbeAll();
 
  private:
-  /// What was seen of a node.
+  /// Last observations of a node.
   struct Seen {
-    /// Number of the node's life that this is about.
+    /// Incarnation of the node that was observed.
     std::size_t incarnation = 0;
-    /// The newest version that it knew, and since when.
+    /// Newest version that the node has applied, and when this was first seen.
     std::int64_t version = 0;
     TimePoint at;
   };
 
   void Probe(NodeProcess* node, Seen* seen);
-  /// A node without the route of the newest version must have been told of it
-  /// too lately, or be hit by a fault.
+  /// Reports a node without the route of the newest version, unless the version
+  /// is too recent or a fault excuses the node.
   void CheckOverdue(NodeProcess* node, const ConfigWrite& newest,
                     TimePoint sent_at);
 
--- a/soak/experiment.cc
+++ b/soak/experiment.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Experiments and their plans of faults.
+/// Parsing of experiments and generation of fault plans.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -56,13 +56,13 @@
     {FaultKind::kSuspendNode, "suspend-node"},
 }};
 
-/// In files, for `kLeaderTarget`.
+/// Name of `kLeaderTarget` in experiment files.
 constexpr char kLeaderName[] = "leader";
 constexpr Duration kShortestFault{300};
-// In a series, the next fault of the kind comes this soon.
+// Interval between faults of one kind in a series.
 constexpr double kSeriesShare = 0.2;
 constexpr Duration kSeriesGap{250};
-// An order that was not answered is carried out this late.
+// Delay after which an unanswered order is carried out.
 constexpr Duration kLeastLateness{2000};
 constexpr Duration kMostLateness{12000};
 
@@ -105,7 +105,7 @@
   *value = Duration(ms);
 }
 
-/// The kind of that name; adds a finding at `place` if there is none.
+/// Returns the kind with this name; adds a finding at `place` if there is none.
 std::optional<FaultKind> FindKind(const YAML::Node& name_node,
                                   const char* place, Findings* findings) {
   const std::string name = name_node.as<std::string>("");
--- a/soak/node_process.cc
+++ b/soak/node_process.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Processes of nodes.
+/// Start, supervision and settings of node processes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -26,12 +26,12 @@
 constexpr int kSignalledBase = 128;
 constexpr int kExecFailed = 127;
 constexpr int kLogMode = 0644;
-// Below the ports from which connections are made: one of those may take the
-// port of a process that is being restarted.
+// Below the ephemeral port range: an outgoing connection could otherwise take
+// the port of a process that is being restarted.
 constexpr int kFirstPort = 12000;
 constexpr int kPortCount = 18000;
-// Soaks that run side by side begin so many ports apart for each process id
-// between them: more than one of them uses.
+// Each process id shifts the first port by this much, more than one soak test
+// uses, so that concurrent soak tests do not collide.
 constexpr int kPortsOfASoak = 97;
 
 std::string Loopback(int port) { return fmt::format("127.0.0.1:{}", port); }
@@ -135,7 +135,7 @@
     const int out = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, kLogMode);
     dup2(out, STDOUT_FILENO);
     dup2(out, STDERR_FILENO);
-    // The soak's own sockets must not outlive it in here.
+    // Sockets of the soak test must not stay open in the child process.
     close_range(STDERR_FILENO + 1, ~0U, 0);
     execl(program_.c_str(), program_.c_str(), "--settings", settings.c_str(),
           static_cast<char*>(nullptr));
@@ -169,7 +169,7 @@
   kill(pid_, SIGKILL);
   int status = 0;
   if (waitpid(pid_, &status, 0) == pid_) {
-    // It may have ended by itself just before.
+    // The process may have just ended by itself.
     const bool by_kill = WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL;
     NoteEnd(status, by_kill);
   }
--- a/soak/node_process.h
+++ b/soak/node_process.h
@@ -1,5 +1,5 @@
 /// @file
-/// One limeledge-node as a process of its own, and its lives.
+/// Runs one limeledge-node process and restarts it.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -21,62 +21,65 @@
 
 namespace limeledge::soak {
 
-/// One life of the process.
+/// One incarnation of the node process.
 struct NodeLife {
   TimePoint started_at;
-  /// When it was asked to stop; nothing if it was not.
+  /// Time of the shutdown request, if any.
   std::optional<TimePoint> stop_asked_at;
   std::optional<TimePoint> ended_at;
-  /// Killed by the soak.
+  /// The soak test killed the process.
   bool killed = false;
 };
 
-/// Starts, signals and restarts one node; only processes that it started are
-/// ever signalled.
+/// Starts, signals and restarts one node; signals only processes that it
+/// started.
 ///
 /// Thread safety: all methods from any thread.
 class NodeProcess {
  public:
-  /// `program` is limeledge-node; settings and log go to `directory`.
+  /// `program` is the path of limeledge-node; settings and log are written to
+  /// `directory`.
   NodeProcess(int number, std::string program, std::string directory);
   ~NodeProcess();
 
-  /// Starts the proxies towards the store and towards this node, writes the
-  /// settings, and starts the first life. Fails with `kUnavailable`.
+  /// Starts the proxies to the store and to this node, writes the settings, and
+  /// starts the first incarnation. Fails with `kUnavailable`.
   absl::Status Start(const Endpoint& store);
-  /// Starts a new life if the last one is over.
+  /// Starts a new incarnation if the last one has ended.
   void Restart();
   void Kill();
-  /// The next life is another node: of another name, at other addresses.
+  /// Makes the next incarnation a different node, with a new name and new
+  /// addresses.
   void ReplaceNext();
   /// Sends SIGTERM, SIGHUP, SIGSTOP or SIGCONT.
   void Signal(int signal);
-  /// Notes the end of the life if it ended. Returns true while it goes on.
+  /// Records the end of the incarnation if it has ended. Returns true while it
+  /// runs.
   bool Lives();
-  /// The exit status of the last life that ended by itself; -1 for none, and
-  /// after a signal 128 and its number.
+  /// Returns the exit status of the last incarnation that ended by itself: -1
+  /// if there is none, 128 plus the number of the signal after a signal.
   int last_status();
 
   const std::string& name() const { return name_; }
   TcpProxy& store_link() { return store_link_; }
   TcpProxy& front_link() { return front_link_; }
-  /// Where callers call, behind the proxy.
+  /// Address for callers, behind the proxy.
   std::string front() const { return front_link_.address(); }
   std::string ready() const;
   std::string metrics() const;
   std::string log_path() const;
-  /// All lives so far; the last one may go on.
+  /// Returns all incarnations; the last one may still run.
   std::vector<NodeLife> lives();
 
  private:
-  /// Gives the node a name and free addresses, and writes its settings.
+  /// Assigns a name and free addresses to the node, and writes its settings.
   void Settle();
   void WriteSettings(int port) const;
   void Spawn();
   void Reap();
   void NoteEnd(int status, bool killed);
 
-  /// Of all nodes that follow one another here.
+  /// Shared by all nodes that replace one another here.
   std::string name_;
   std::string program_;
   std::string directory_;
@@ -86,7 +89,7 @@
   TcpProxy front_link_;
   SteadyClock clock_;
   mutable std::mutex mutex_;
-  /// Nodes that were removed for good in favour of another.
+  /// Number of nodes that were permanently replaced by another.
   int replaced_ = 0;
   bool replace_next_ = false;
   pid_t pid_ = -1;
@@ -97,7 +100,7 @@
 /// All nodes of a run.
 using Nodes = std::vector<std::unique_ptr<NodeProcess>>;
 
-/// A port of loopback that is free now.
+/// Returns a free port on loopback.
 int FreePort();
 
 }  // namespace limeledge::soak
--- a/soak/report.cc
+++ b/soak/report.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Texts and plots of a run.
+/// Markdown and SVG output of a run.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Sizes in the plot, in pixels.
+// Dimensions of the plot, in pixels.
 constexpr int kWidth = 900;
 constexpr int kHeight = 320;
 constexpr int kMargin = 40;
@@ -46,7 +46,7 @@
   return text;
 }
 
-/// Maps times of a run to pixels.
+/// Maps times of a run to pixel coordinates.
 class Scale {
  public:
   explicit Scale(const RunSummary& run)
@@ -56,15 +56,15 @@
 
   std::int64_t length_ms() const { return length_ms_; }
   std::int64_t slowest_ms() const { return slowest_ms_; }
-  /// Pixels that a part of the run is wide.
+  /// Returns the width of a time span in pixels.
   std::int64_t Width(Duration part) const {
     return (kWidth - 2 * kMargin) * part.ms() / length_ms_;
   }
-  /// Where a moment of the run lies.
+  /// Returns the x coordinate of a moment of the run.
   std::int64_t X(Duration since_begin) const {
     return kMargin + Width(since_begin);
   }
-  /// Where a call that took so long lies.
+  /// Returns the y coordinate of a call latency.
   std::int64_t Y(Duration took) const {
     return kHeight - kMargin -
            (kHeight - 2 * kMargin) * took.ms() / slowest_ms_;
@@ -86,7 +86,8 @@
       scale.length_ms() / kMsPerSecond);
 }
 
-/// The bar of a fault; `index` is its place in the plan, which tells its line.
+/// Returns the bar of a fault; `index` is its position in the plan and selects
+/// the row.
 std::string FaultBar(const Scale& scale, const Fault& fault,
                      std::size_t index) {
   return fmt::format(
--- a/soak/report.h
+++ b/soak/report.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a run tells: a line, a page and a plot.
+/// Reports of a run: a table row, a page and a plot.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,7 +17,7 @@
 
 namespace limeledge::soak {
 
-/// All that a report tells of.
+/// Input of a report.
 struct RunSummary {
   std::uint64_t seed = 0;
   Experiment experiment;
@@ -35,16 +35,17 @@
   std::vector<std::string> violations;
 };
 
-/// One line in Markdown's form of a table's row. Safe from any thread.
+/// Returns one row of a Markdown table. Safe from any thread.
 std::string TableRow(const RunSummary& run);
-/// The header of such a table. Safe from any thread.
+/// Returns the header of the Markdown table. Safe from any thread.
 std::string TableHead();
 
-/// A page with all numbers, faults and violations. Safe from any thread.
+/// Returns a Markdown page with all counters, faults and violations. Safe from
+/// any thread.
 std::string Page(const RunSummary& run);
 
-/// A plot of how long accepted calls took, over the faults (SVG). Safe from
-/// any thread.
+/// Returns a plot (SVG) of the latencies of accepted submits and of the faults.
+/// Safe from any thread.
 std::string Plot(const RunSummary& run);
 
 }  // namespace limeledge::soak
--- a/soak/verdict.cc
+++ b/soak/verdict.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Final states against what runners did.
+/// Checks final job states against what runners executed.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,26 +16,29 @@
 
 namespace {
 
-// The longest job, all of its attempts, one after the other on one rack, and
-// what an earlier scheduler may have left behind (16 s).
+// Time for the longest job with all its attempts in sequence on one rack, plus
+// what a previous scheduler may have left behind (16 s).
 constexpr Duration kLongestSettling{90000};
 constexpr std::chrono::milliseconds kPause{100};
-// Urgent work starts within this at the size that limeledge is built for.
+// Urgent work must start within this time at the size that limeledge is built
+// for.
 constexpr Duration kUrgentBound{5900};
-// Starts are watched for this long after a fault that bounds their absence.
+// Starts are checked for this long after a fault that limits the time without
+// one.
 constexpr Duration kFaultIsFelt{4000};
-// The platform lets a task be given up once so many runners crashed under it.
+// The platform allows a task to fail after this many runners crashed while
+// running it.
 constexpr int kCrashesToGiveUp = 2;
 constexpr int kGangMembers = 2;
 constexpr int kGangAccelerators = 8;
 constexpr int kFillerTasks = 4;
 constexpr int kFillerAccelerators = 8;
 constexpr Duration kFillerWork{8000};
-// A runner that is about to leave at the end, and the time after which nothing
-// may start there: the bound and the slack of the platform's check.
+// Runner that is about to leave at the end, and the time after which no task
+// may start on it: the bound and the slack of the check in the platform.
 constexpr Duration kLeavesIn{60000};
 constexpr std::chrono::milliseconds kDrainSettling{4600};
-// Lets the fillers start everywhere.
+// Time for the filler tasks to start on all runners.
 constexpr std::chrono::milliseconds kFilling{2500};
 
 bool IsFinalState(const std::string& state) {
@@ -150,8 +153,8 @@
   Verdict verdict;
   Settle(platform, callers, driver, &verdict);
   if (!experiment.checks_times) return verdict;
-  // What is handed in next must not start there: the platform's check of it
-  // holds only while all is calm.
+  // Jobs submitted next must not start there: the check in the platform applies
+  // only while no fault is near.
   platform->DrainRunner(0, kLeavesIn);
   std::this_thread::sleep_for(kDrainSettling);
   Reclaim(platform, callers, maker, &verdict);
--- a/soak/verdict.h
+++ b/soak/verdict.h
@@ -1,5 +1,5 @@
 /// @file
-/// The last checks of a run, once all troubles are over.
+/// Final checks of a run, after all faults have ended.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -17,30 +17,31 @@
 
 namespace limeledge::soak {
 
-/// What a fault of the plan that bounds the time without a start came to.
+/// Longest time without a start after a fault that limits it.
 struct StartGap {
   Fault fault;
   Duration longest;
 };
 
-/// Measures the time without a start after each fault that bounds it; one that
-/// was longer goes to the platform's oracle. Use it when the plan is over.
+/// Measures the time without a start after each fault that limits it, and
+/// reports violations to the platform's oracle. Call this after the plan has
+/// ended.
 std::vector<StartGap> JudgeStartGaps(const std::vector<Fault>& plan,
                                      TimePoint began_at,
                                      SoakPlatform* platform);
 
-/// How a run went.
+/// Result of a run.
 struct Verdict {
   std::map<std::string, int> jobs_by_state;
-  /// Until the urgent gang at the end began, with all runners taken.
+  /// Time until the final urgent gang started, with all runners occupied.
   Duration urgent_start;
   Duration settled_after;
 };
 
-/// Waits until all jobs are final, and holds their states against what ran;
-/// then has an urgent gang reclaim its guarantee, if times are checked. What is
-/// wrong goes to the platform's oracle. Use it from one thread, after
-/// `FaultDriver::Heal`.
+/// Waits until all jobs are final, and checks their states against the recorded
+/// runs. If times are checked, an urgent gang then reclaims its guarantee.
+/// Violations are reported to the platform's oracle. Call this from one thread,
+/// after `FaultDriver::Heal`.
 Verdict Judge(const Experiment& experiment, SoakPlatform* platform,
               Callers* callers, FaultDriver* driver, JobMaker* maker);
 
