--- a/bench/capacity-bench.cc
+++ b/bench/capacity-bench.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Slopes of state, messages, processor time and memory over sizes.
+/// Measures how state, messages, CPU time and memory grow with the sizes.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,12 +20,13 @@
 namespace limeledge {
 namespace {
 
-/// HTTP lines and headers of a call and of its reply, as seen on loopback.
+/// Bytes of the HTTP header of a request and of its response, measured on
+/// loopback.
 constexpr double kCallHeader = 190;
 constexpr double kReplyHeader = 110;
 constexpr double kBytesPerKb = 1024;
 
-/// Sizes of one run.
+/// Parameters of one run.
 struct Sizes {
   int halls = 5;
   int workers = 510;
@@ -34,7 +35,7 @@
   int instances = 9;
 };
 
-/// What one instance spends in one second.
+/// Resources that one instance uses per second.
 struct Spent {
   double cpu_percent = 0;
   double kb_per_second = 0;
@@ -63,7 +64,7 @@
   return text;
 }
 
-/// Counts the bytes that effects put on the wire.
+/// Counts the bytes that effects send over the network.
 class WireCounter {
  public:
   void Count(const Effects& effects) {
@@ -79,7 +80,7 @@
   void Call(double body) { bytes_ += body + kCallHeader + kReplyHeader; }
   void Add(const SendExchange& effect) {
     Call(static_cast<double>(EncodeExchange(effect.exchange).size()));
-    // The report names the same tasks in about as many bytes.
+    // The report lists the same tasks in about as many bytes.
     bytes_ += static_cast<double>(EncodeExchange(effect.exchange).size());
   }
   void Add(const SendHeartbeat& effect) {
@@ -114,7 +115,7 @@
   return spec;
 }
 
-/// Runs the sizes until all tasks run, then for a while, and counts.
+/// Runs the emulation until all tasks run, then measures a steady period.
 Spent Measure(const Sizes& sizes) {
   constexpr Duration kCounted{20000};
   constexpr int kMembers = 8;
@@ -146,7 +147,7 @@
           wire.rows() / seconds, wire.reads() / seconds};
 }
 
-/// A straight line through points, with its mean relative error.
+/// Linear fit through points, with its mean relative error.
 struct Fit {
   double slope = 0;
   double base = 0;
@@ -205,10 +206,10 @@
       kb_fit.slope, name, 100 * kb_fit.error);
 }
 
-/// Bytes in use on the heap.
+/// Returns the bytes in use on the heap.
 double HeapBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
-/// Memory that one more job of `members` takes in the mirror.
+/// Measures the memory that one more job of `members` takes in the mirror.
 void MeasureMemory() {
   fmt::print(
       "\n| members | bytes for each job in memory | bytes of its row "
--- a/bench/fault-bench.cc
+++ b/bench/fault-bench.cc
@@ -1,5 +1,6 @@
 /// @file
-/// What each fault costs: recovery, refused and unknown shares, store load.
+/// Measures the effects of each fault: recovery, refused and unknown shares,
+/// store load.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,7 +21,7 @@
 constexpr Duration kStep{10};
 constexpr Duration kCounted{60000};
 constexpr Duration kFaultAt{10000};
-/// Requests come one in each step; every second one is not repeatable.
+/// One request arrives in each step; every second request is not repeatable.
 constexpr int kJobEverySteps = 200;
 
 constexpr char kSettings[] = R"(
@@ -34,7 +35,7 @@
   w2: {}
 )";
 
-/// A fault: how it begins and, after `lasts`, ends.
+/// A fault: the action that begins it and the one that ends it after `lasts`.
 struct Scenario {
   const char* name;
   Duration lasts;
@@ -109,7 +110,7 @@
   }
 
   void SendWork(int step) {
-    // The balancer does not send to an instance that is gone.
+    // The load balancer does not send requests to an instance that is down.
     int instance = step % kInstances;
     while (!cluster_.IsAlive(instance)) instance = (instance + 1) % kInstances;
     RequestSpec request;
--- a/bench/request-latency.cc
+++ b/bench/request-latency.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Request latency through a daemon against direct calls to the runner.
+/// Compares request latency through a daemon with direct calls to the runner.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -35,7 +35,7 @@
   int threads = 32;
 };
 
-/// Latencies of one side, in microseconds, sorted.
+/// Sorted latencies of one path, in microseconds.
 struct Latencies {
   std::vector<double> micros;
   int failed = 0;
@@ -78,7 +78,8 @@
   return http;
 }
 
-/// Sends calls at a fixed rate, each timed from the moment it was due.
+/// Sends calls at a fixed rate; each latency counts from the scheduled send
+/// time.
 Latencies Load(const LoadOptions& options,
                HttpCall (*make)(const LoadOptions&, int)) {
   const int total = options.rate * options.seconds;
--- a/bench/scheduler-bench.cc
+++ b/bench/scheduler-bench.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Processor time that a node's reducer spends on a loaded fleet, by size.
+/// Measures the CPU time that a node's reducer uses on a loaded fleet, by size.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -22,7 +22,7 @@
 constexpr Duration kWarmUp{3000};
 constexpr Duration kStep{100};
 
-/// A kind of job, by what it is in a large register of materials.
+/// A kind of job, modeled on a large register of materials.
 struct Kind {
   int priority;
   int tasks;
@@ -30,7 +30,7 @@
   std::int64_t cpu_millis;
   int most_accelerators;
   Duration work;
-  /// Jobs a second at 1,100 runners.
+  /// Jobs per second at 1,100 runners.
   double rate;
 };
 
@@ -41,7 +41,7 @@
 };
 constexpr double kRunnersOfRates = 1100;
 
-/// Hands jobs in at the rates of the kinds, times `load`.
+/// Submits jobs at the rates of the kinds, multiplied by `load`.
 class Load {
  public:
   Load(EmulatedSystem* system, int runners, double load)
--- a/bench/steps-bench.cc
+++ b/bench/steps-bench.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Benchmarks of single steps at the size that is built towards.
+/// Benchmarks of single steps at the size that limeledge is built for.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -43,7 +43,7 @@
 }
 BENCHMARK(PlaceGangOf32)->Unit(benchmark::kMicrosecond);
 
-/// A hall with as many waiting jobs as the argument says.
+/// Hall with as many waiting jobs as the benchmark argument.
 void PlanWaitingJobs(benchmark::State& state) {
   Settings settings;
   std::vector<JobRow> jobs(static_cast<std::size_t>(state.range(0)));
--- a/soak/fault_driver.cc
+++ b/soak/fault_driver.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Troubles, one kind at a time.
+/// Injection of each kind of fault.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -20,34 +20,35 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTick{20};
-// A process that ended is started again after this.
+// Delay before a process that has ended is restarted.
 constexpr Duration kRestartPause{500};
-// A stop takes at most the grace of the settings (6 s), and some on a machine
-// that is busy with other processes.
+// A shutdown takes at most the grace period of the settings (6 s), plus some
+// time on a busy machine.
 constexpr Duration kLongestStop{8000};
-// How hard the troubles are: enough to be felt, and less than what calls wait.
+// Strength of the faults: enough to have an effect, and less than the timeouts
+// of calls.
 constexpr Duration kStoreDelay{400};
 constexpr Duration kLinkDelay{300};
-// Calls on connections that went silent are given up after this at the latest:
-// a waiting call's time and its slack.
+// Calls on silenced connections are given up within this time: the timeout of a
+// waiting call and its slack.
 constexpr Duration kSilenceFelt{3000};
-// Orders lose their answers for one to four times this when they are to come
-// late. An order is sent twice within 1 s, and ruled out by a stop once runners
-// answer again: from 3 s on, late starts are carried out before that.
+// Late orders lose their responses for one to four times this long. An order is
+// sent twice within 1 s, and cancelled by a stop once runners respond again;
+// from 3 s on, late starts are carried out before that stop.
 constexpr Duration kOrdersLost{1000};
 constexpr int kMostTimesLost = 4;
-// Share of the store's writes whose answers are lost.
+// Share of the store writes whose responses are lost.
 constexpr double kAnswersLost = 0.3;
-// Tasks of a slow runner take so many times as long.
+// Factor by which tasks on a slow runner take longer.
 constexpr double kSlowness = 5;
-// A room shrinks to one of its parts.
+// Number of parts of the capacity that remain on a shrunk runner.
 constexpr int kShrunkParts = 1;
-// A node that answers at all does so within some milliseconds.
+// A working node responds within some milliseconds.
 constexpr Duration kStateTimeout{200};
-// What a store that is down answers.
+// HTTP status of a store that is down.
 constexpr int kUnavailable = 503;
 
-/// What a trouble of a link does to it.
+/// Returns the link fault of a fault kind.
 LinkFault LinkFaultOf(FaultKind kind) {
   LinkFault trouble;
   switch (kind) {
@@ -86,7 +87,7 @@
                          std::function<void()> end) {
   const Duration length = fault.length;
   At(at, [this, subject, begin = std::move(begin), length] {
-    // What comes late by the load of the machine lasts longer, too.
+    // The span is doubled because a busy machine may delay the effects.
     const TimePoint now = clock_.Now();
     log_->Note(subject, now, now + length + length);
     begin();
@@ -187,7 +188,7 @@
 void FaultDriver::DelayOrders(const Fault& fault) {
   const TimePoint now = clock_.Now();
   const TimePoint end = now + kOrdersLost * (1 + fault.target % kMostTimesLost);
-  // Calls that lost their answers are given up after a while.
+  // Calls with lost responses are given up only after some time.
   const TimePoint felt = end + kSilenceFelt;
   log_->Note("orders", now, felt);
   log_->Note("orders", now, felt + fault.length, TroubleSort::kLateOrders);
@@ -244,8 +245,8 @@
           [node] { node->Signal(SIGCONT); });
       return true;
     case FaultKind::kSuspendNode:
-      // Unlike that of a paused process, the network of a suspended machine
-      // takes nothing meanwhile.
+      // Unlike a paused process, a suspended machine does not accept data from
+      // the network.
       During(
           fault, at, node->name(), [node] { SetSuspended(node, true); },
           [node] { SetSuspended(node, false); });
@@ -338,7 +339,8 @@
   SoakPlatform* platform = platform_;
   const int place = PlaceOf(fault);
   const Duration length = fault.length;
-  // It serves on for a while, ends, and another life comes.
+  // The runner keeps serving for some time and ends, and a new incarnation
+  // starts.
   At(at, [platform, place, length] { platform->DrainRunner(place, length); });
   At(at + length + kRestartPause, [this, platform, place] {
     log_->Note(RunnerSubject(place), clock_.Now(), clock_.Now(),
@@ -435,7 +437,7 @@
 
 void FaultDriver::Heal() {
   actions_.clear();
-  // The end of their leaving was among the actions.
+  // The actions that were to end their leaving have been dropped.
   platform_->ReplaceLeaving();
   platform_->store().SetFaults({});
   for (int i = 0; i < platform_->runners(); ++i) {
--- a/soak/fault_driver.h
+++ b/soak/fault_driver.h
@@ -1,5 +1,5 @@
 /// @file
-/// Carries a plan of faults out, and restarts what ended.
+/// Injects the faults of a plan, and restarts processes that ended.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -21,59 +21,62 @@
 
 namespace limeledge::soak {
 
-/// Makes the troubles of a plan, from outside of the nodes.
+/// Injects the faults of a plan from outside the nodes.
 ///
 /// Thread safety: none; use it from one thread.
 class FaultDriver {
  public:
-  /// All that is given outlives this object.
+  /// All arguments must outlive this object.
   FaultDriver(SoakPlatform* platform, Nodes* nodes, FaultLog* log);
 
-  /// Makes all troubles of the plan; returns after `length`.
+  /// Injects all faults of the plan; returns after `length`.
   void Run(const std::vector<Fault>& plan, Duration length);
-  /// Ends all troubles, and starts again what is down.
+  /// Ends all faults, and restarts everything that is down.
   void Heal();
-  /// Restarts nodes that ended and are due again; checks how they ended.
+  /// Restarts ended nodes when they are due, and checks how they ended.
   void TendNodes();
 
  private:
   void Schedule(const Fault& fault, TimePoint begin);
-  /// Makes a fault of the node that schedules then.
+  /// Schedules a fault of the node that holds the scheduler lease at that time.
   void ScheduleLeader(const Fault& fault, TimePoint at);
-  /// The number of the node that schedules; of the first if none says so.
+  /// Returns the index of the node that schedules, or of the first node if none
+  /// reports that it does.
   int FindLeader();
-  /// Silences what is open between nodes, the store and runners.
+  /// Silences all open connections of nodes to the store and to runners.
   void SilenceAll();
   void SilenceRunners();
-  /// For 1 to 4 s, by the fault's target, orders to all runners get no answer;
-  /// they are carried out the fault's length later.
+  /// Drops the responses to all orders to runners for 1 to 4 s, depending on
+  /// the fault's target; the orders are carried out later by the fault's
+  /// length.
   void DelayOrders(const Fault& fault);
   void SetRunnerLinks(const LinkFault& fault);
-  /// Suspends a node's machine, or wakes it.
+  /// Suspends or resumes the machine of a node.
   static void SetSuspended(NodeProcess* node, bool suspended);
-  /// Asks a node to stop; the next life there is another node if `replace`.
+  /// Asks a node to stop; if `replace`, its next incarnation is a different
+  /// node.
   void StopNode(NodeProcess* node, bool replace);
-  // Each plans the troubles of one sort, and returns false for other kinds.
+  // Each schedules one group of fault kinds, and returns false for other kinds.
   bool ScheduleNode(const Fault& fault, TimePoint at);
   bool ScheduleNodeLink(const Fault& fault, TimePoint at);
   bool ScheduleStore(const Fault& fault, TimePoint at);
   bool ScheduleRunnerLink(const Fault& fault, TimePoint at);
-  /// Plans the troubles of a runner itself; nothing for other kinds.
+  /// Schedules the faults of a runner itself; does nothing for other kinds.
   void ScheduleRunner(const Fault& fault, TimePoint at);
   void ScheduleDrain(const Fault& fault, TimePoint at);
-  /// The node, and the runner's place, that a trouble is meant for.
+  /// Returns the node, or the index of the runner, that a fault targets.
   NodeProcess* NodeOf(const Fault& fault);
   int PlaceOf(const Fault& fault) const;
   void At(TimePoint at, std::function<void()> run);
-  /// Begins a trouble now and ends it after the fault's length.
+  /// Begins a fault at `at`, and ends it after the fault's length.
   void During(const Fault& fault, TimePoint at, const std::string& subject,
               std::function<void()> begin, std::function<void()> end);
-  /// The same for a trouble of a link.
+  /// Like `During`, for a fault of a link.
   void DuringLink(const Fault& fault, TimePoint at, const std::string& subject,
                   TcpProxy* link);
-  /// Reports a life that ended by itself; once for each life.
+  /// Reports an incarnation that ended by itself, once for each incarnation.
   void CheckEnd(NodeProcess* node);
-  /// Kills and reports a node that was asked to stop and does not.
+  /// Kills and reports a node that did not stop in time after a request.
   void EndOverdue(NodeProcess* node, const NodeLife& incarnation);
 
   SoakPlatform* platform_;
@@ -82,7 +85,7 @@
   FaultLog* log_;
   SteadyClock clock_;
   std::multimap<TimePoint, std::function<void()>> actions_;
-  /// Lives of each node whose end was checked.
+  /// Number of incarnations of each node whose end was checked.
   std::map<std::string, std::size_t> checked_;
 };
 
--- a/test/cancel-watch-test.cc
+++ b/test/cancel-watch-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the soak's check that cancelled jobs end in time.
+/// Tests of the soak test check that cancelled jobs end in time.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -16,14 +16,14 @@
 namespace {
 
 constexpr TimePoint kCancelled{100000};
-/// A run is reported once it is seen this long after the cancel.
+/// Time after the cancel from which a running task is reported.
 constexpr Duration kBound = CancelWatch::kCancelBound + CancelWatch::kStopTime +
                             CancelWatch::kSampleSlack;
 constexpr Duration kInstant{1};
 
 }  // namespace
 
-// One job of one task, cancelled at `kCancelled`.
+// Fixture with one job of one task, cancelled at `kCancelled`.
 TEST_GROUP(CancelWatch) {
   FaultLog faults;
   std::vector<std::string> violations;
--- a/test/soak-test.cc
+++ b/test/soak-test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Tests of the parts of the fault soak.
+/// Tests of the components of the soak test.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-// A server behind a proxy.
+// Fixture with an HTTP server behind a proxy.
 TEST_GROUP(Soak) {
   std::unique_ptr<HttpServer> server;
   TcpProxy proxy;
@@ -118,7 +118,7 @@
   proxy.SetFault({});
   CHECK(Get(Duration(5000)).ok());
   CHECK_EQUAL(1, served);
-  // The caller of the late one is long gone.
+  // The caller of the late request has already given up.
   for (int i = 0; i < 500 && served < 2; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
@@ -201,7 +201,7 @@
   CHECK(plan.size() > 3);
   for (const Fault& fault : plan) {
     CHECK_EQUAL(kLeaderTarget, fault.target);
-    // The last one may come one interval after the last moment.
+    // The last fault may begin up to one interval after the limit.
     CHECK(fault.at < Duration(9000) + experiment.fault_interval * 2);
   }
 }
@@ -268,7 +268,7 @@
   CHECK(page.find("| 250 | 30 |") != std::string::npos);
 }
 
-// A runner whose leaving was cut short by the end of the faults left for ever.
+// If the faults ended while a runner was leaving, the runner never came back.
 TEST(Soak, RunnersThatAreLeavingAreReplaced) {
   FaultLog faults;
   Experiment experiment;
