--- a/soak/callers.cc
+++ b/soak/callers.cc
@@ -162,7 +162,7 @@
       absl::StrCat("the same job again was a conflict: ", job.path));
 }
 
-void Callers::Live(const std::vector<DraftJob>& jobs, JobMaker* maker) {
+void Callers::RunJobs(const std::vector<DraftJob>& jobs, JobMaker* maker) {
   std::vector<DraftJob> accepted;
   for (const DraftJob& job : jobs) {
     if (!Submit(job)) continue;
@@ -191,7 +191,7 @@
     for (int i = 0; i < experiment_.jobs_at_once; ++i) {
       jobs.push_back(maker.Make());
     }
-    Live(jobs, &maker);
+    RunJobs(jobs, &maker);
     Sleep(Duration(maker.Pick(pause / 2, pause * 3 / 2)));
   }
 }
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -77,7 +77,7 @@
 
   /// Submits jobs one after the other, resubmits and cancels some at random,
   /// and checks that all accepted jobs are known.
-  void Live(const std::vector<DraftJob>& jobs, JobMaker* maker);
+  void RunJobs(const std::vector<DraftJob>& jobs, JobMaker* maker);
   /// Cancels a job, with retries until the cancel is acknowledged or the
   /// attempts are used up.
   void Cancel(const DraftJob& job);
--- a/soak/cancel_watch.h
+++ b/soak/cancel_watch.h
@@ -44,7 +44,7 @@
   /// No task of a cancelled job is started later than this; required by the
   /// users.
   static constexpr Duration kCancelBound{3000};
-  /// Time that an emulated runner takes to stop a run, as in
+  /// Time that a stand-in runner takes to stop a run, as in
   /// `emulator::RunnerBounds`.
   static constexpr Duration kStopTime{300};
   /// Maximum sampling delay: runs are sampled every 50 ms, and later on a busy
--- a/soak/fault_driver.cc
+++ b/soak/fault_driver.cc
@@ -50,26 +50,26 @@
 
 /// Returns the link fault of a fault kind.
 LinkFault LinkFaultOf(FaultKind kind) {
-  LinkFault trouble;
+  LinkFault link_fault;
   switch (kind) {
     case FaultKind::kCutStore:
     case FaultKind::kCutRunner:
-      trouble.holds_requests = trouble.holds_answers = true;
+      link_fault.holds_requests = link_fault.holds_answers = true;
       break;
     case FaultKind::kHoldAnswers:
-      trouble.holds_answers = true;
+      link_fault.holds_answers = true;
       break;
     case FaultKind::kResetStore:
-      trouble.refuses = true;
+      link_fault.refuses = true;
       break;
     case FaultKind::kDelayCallers:
     case FaultKind::kDelayRunner:
-      trouble.delay = kLinkDelay;
+      link_fault.delay = kLinkDelay;
       break;
     default:
       break;
   }
-  return trouble;
+  return link_fault;
 }
 
 }  // namespace
@@ -97,9 +97,9 @@
 
 void FaultDriver::DuringLink(const Fault& fault, TimePoint at,
                              const std::string& subject, TcpProxy* link) {
-  const LinkFault trouble = LinkFaultOf(fault.kind);
+  const LinkFault link_fault = LinkFaultOf(fault.kind);
   During(
-      fault, at, subject, [link, trouble] { link->SetFault(trouble); },
+      fault, at, subject, [link, link_fault] { link->SetFault(link_fault); },
       [link] { link->SetFault({}); });
 }
 
@@ -291,16 +291,16 @@
 }
 
 bool FaultDriver::ScheduleStore(const Fault& fault, TimePoint at) {
-  standin::StoreFaults trouble;
+  standin::StoreFaults store_faults;
   switch (fault.kind) {
     case FaultKind::kStoreDown:
-      trouble.refuse_with = kUnavailable;
+      store_faults.refuse_with = kUnavailable;
       break;
     case FaultKind::kStoreSlow:
-      trouble.delay = kStoreDelay;
+      store_faults.delay = kStoreDelay;
       break;
     case FaultKind::kStoreAnswersLost:
-      trouble.answers_lost = kAnswersLost;
+      store_faults.answers_lost = kAnswersLost;
       break;
     case FaultKind::kStoreForgets:
       At(at, [this] { platform_->store().ForgetHistory(); });
@@ -310,7 +310,8 @@
   }
   standin::StoreServer* store = &platform_->store();
   During(
-      fault, at, kStoreSubject, [store, trouble] { store->SetFaults(trouble); },
+      fault, at, kStoreSubject,
+      [store, store_faults] { store->SetFaults(store_faults); },
       [store] { store->SetFaults({}); });
   return true;
 }
--- a/soak/job_maker.cc
+++ b/soak/job_maker.cc
@@ -38,7 +38,7 @@
   return json;
 }
 
-/// Task payload that the emulated runners read.
+/// Task payload that the stand-in runners read.
 std::string EncodeTruth(const emulator::TaskTruth& truth) {
   Json::Value json;
   json["work_ms"] = Json::Int64(truth.work.ms());
--- a/soak/main.cc
+++ b/soak/main.cc
@@ -26,9 +26,9 @@
 constexpr int kExitViolated = 1;
 constexpr int kExitUsage = 2;
 constexpr std::int64_t kMsPerSecond = 1000;
-/// Until the nodes serve and one of them schedules.
+/// Time until the nodes serve and one of them schedules.
 constexpr std::int64_t kWarmUpMs = 4000;
-/// Added to the seed for the jobs of the verdict.
+/// Added to the seed for the jobs of the final checks.
 constexpr std::uint64_t kLastJobsSeed = 1000;
 
 struct RunOptions {
@@ -42,7 +42,7 @@
   std::ofstream(path) << text;
 }
 
-/// Starts as many nodes as the experiment has.
+/// Starts the number of nodes that the experiment sets.
 absl::StatusOr<Nodes> StartNodes(const RunOptions& options,
                                  const Endpoint& store) {
   Nodes nodes;
@@ -55,9 +55,9 @@
   return nodes;
 }
 
-/// Plays the plan under load, and judges what became of the jobs.
-void PlayPlan(const RunOptions& options, SoakPlatform* platform, Nodes* nodes,
-              FaultLog* faults, RunSummary* run) {
+/// Executes the plan under load, and checks the final states of the jobs.
+void ExecutePlan(const RunOptions& options, SoakPlatform* platform,
+                 Nodes* nodes, FaultLog* faults, RunSummary* run) {
   const Experiment& experiment = options.experiment;
   FaultDriver driver(platform, nodes, faults);
   driver.Run({}, Duration(kWarmUpMs));
@@ -77,8 +77,8 @@
   run->unknown = callers.counts().unknown;
 }
 
-/// Plays one seed.
-absl::StatusOr<RunSummary> Play(const RunOptions& options) {
+/// Runs the experiment with one seed.
+absl::StatusOr<RunSummary> RunSeed(const RunOptions& options) {
   std::filesystem::create_directories(options.directory);
   FaultLog faults;
   SoakPlatform platform(options.experiment, &faults);
@@ -90,7 +90,7 @@
   run.seed = options.seed;
   run.experiment = options.experiment;
   run.plan = PlanFaults(options.experiment, options.seed);
-  PlayPlan(options, &platform, &*nodes, &faults, &run);
+  ExecutePlan(options, &platform, &*nodes, &faults, &run);
   run.starts = platform.starts();
   run.cancels = platform.cancel_times();
   for (const auto& node : *nodes) node->Kill();
@@ -100,9 +100,10 @@
   return run;
 }
 
-/// Plays one seed, and writes what it tells. Returns the exit status.
-int PlayAndTell(const RunOptions& options) {
-  const absl::StatusOr<RunSummary> run = Play(options);
+/// Runs the experiment with one seed, and writes its reports. Returns the exit
+/// status.
+int RunAndReport(const RunOptions& options) {
+  const absl::StatusOr<RunSummary> run = RunSeed(options);
   if (!run.ok()) {
     fmt::print(stderr, "{}\n", run.status().ToString());
     return kExitUsage;
@@ -152,7 +153,7 @@
     options.seed = first + i;
     options.directory = fmt::format(
         "{}/seed-{}", args["report"].as<std::string>(), options.seed);
-    worst = std::max(worst, PlayAndTell(options));
+    worst = std::max(worst, RunAndReport(options));
   }
   return worst;
 }
--- a/soak/node_process.cc
+++ b/soak/node_process.cc
@@ -32,14 +32,14 @@
 constexpr int kPortCount = 18000;
 // Each process id shifts the first port by this much, more than one soak test
 // uses, so that concurrent soak tests do not collide.
-constexpr int kPortsOfASoak = 97;
+constexpr int kPortsPerProcess = 97;
 
 std::string Loopback(int port) { return fmt::format("127.0.0.1:{}", port); }
 
 }  // namespace
 
 int FreePort() {
-  static std::atomic<int> next{getpid() % kPortCount * kPortsOfASoak %
+  static std::atomic<int> next{getpid() % kPortCount * kPortsPerProcess %
                                kPortCount};
   for (int tries = 0; tries < kPortCount; ++tries) {
     const int port = kFirstPort + next++ % kPortCount;
--- a/soak/soak_platform.cc
+++ b/soak/soak_platform.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Store, operator and runners of a soak.
+/// Store, operator and runners of a soak test.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -24,22 +24,25 @@
 constexpr int kRunnersPerRack = 4;
 constexpr std::chrono::milliseconds kSample{50};
 constexpr int kSamplesABeat = 6;
-// The entry of a runner that ended without a word goes after three beats.
+// The entry of a runner that ended without notice is removed after three
+// heartbeats.
 constexpr Duration kEntryLife{900};
-// Every other runner's clock is as slow as clocks may be.
+// Every second runner has the slowest clock that is allowed.
 constexpr double kSlowClock = 0.98;
-// The scheduler reads the list once a second, stores each decision, and may be
-// a process that waits for the processor on a busy machine.
+// The scheduler reads the list once per second and stores each decision, and
+// its process may wait for the processor on a busy machine.
 constexpr Duration kDrainBound{2000};
 constexpr Duration kDrainSlack{2500};
 constexpr dispatch::Resources kRoom{64000, 262144, 8};
-/// A runner that a task crashed is away for so long.
+/// Time for which a runner that a task crashed stays down.
 constexpr Duration kCrashDown{1500};
-/// A room that shrank counts for starts after the time in which a process is in
-/// touch, a heartbeat, and what a busy machine adds.
+/// Time after which starts must respect a reduced capacity: the time for which
+/// a process may act without contact, a heartbeat, and the delays of a busy
+/// machine.
 constexpr Duration kRoomNotice{6000};
-/// Trouble this long before a start excuses it.
-constexpr Duration kTroubleEcho{4000};
+/// A fault within this time before a runner announces that it leaves, or later,
+/// excuses late starts there.
+constexpr Duration kFaultExcuse{4000};
 
 Json::Value Route(const std::string& name, const std::string& prefix,
                   int priority) {
@@ -55,9 +58,10 @@
   return route;
 }
 
-/// The birth that a life tells which begins now. Every third one's time of day
-/// is a minute behind, so that it seems to be older than the life before.
-dispatch::StartTime BirthOf(int incarnation) {
+/// Returns the start time that a new incarnation reports. The clock of every
+/// third incarnation is one minute behind, so that it seems older than its
+/// predecessor.
+dispatch::StartTime StartTimeOf(int incarnation) {
   constexpr int kThird = 3;
   constexpr std::int64_t kBehindMs = 60000;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -130,7 +134,7 @@
   dispatch::RunnerInfo info;
   info.id = RunnerId(
       absl::StrCat("i-", index, "-", keeps_ids_ ? 1 : place.incarnation));
-  info.start_time = BirthOf(place.incarnation);
+  info.start_time = StartTimeOf(place.incarnation);
   info.service = dispatch::ServiceId(kService);
   info.hall = HallId("soak");
   info.room = kRoom;
@@ -139,10 +143,10 @@
   auto server = std::make_unique<standin::RunnerServer>(
       info, Endpoint{"127.0.0.1", place.port}, &shed_,
       index % 2 == 0 ? 1.0 : kSlowClock, guards_room_);
-  // The address was free a moment ago; if it is taken, the runner stays away.
+  // The address was free before; if it is taken now, the runner stays down.
   if (!server->Start().ok()) return;
   server->Advertise(place.link.address());
-  // What was said under this id before is not this life's.
+  // Drops what the previous incarnation left under this id.
   silent_.erase(std::remove_if(silent_.begin(), silent_.end(),
                                [&info](const Silent& silent) {
                                  return silent.id == info.id;
@@ -189,7 +193,8 @@
       const auto& server = places_[i]->server;
       if (server == nullptr || !server->crashed_by().has_value()) continue;
       oracle_.RecordCrashCause(*server->crashed_by(), now);
-      // Before any of them is gone, which ends members of its gangs elsewhere.
+      // Record the crash before any runner is removed, because its removal ends
+      // members of its gangs elsewhere.
       RecordRunnerCrash(server.get());
       crashing.push_back(i);
     }
@@ -257,8 +262,8 @@
   place.server->Stop();
   silent_.push_back({place.server->id(), clock_.Now()});
   const std::lock_guard<std::mutex> shed(shed_.mutex);
-  // One that leaves as it said does not crash, and the runs on one that a task
-  // crashed are noted already.
+  // A runner that leaves as announced does not crash, and the runs on a runner
+  // that a task crashed are already recorded.
   const bool crashes =
       !place.server->draining() && !place.server->crashed_by().has_value();
   if (crashes) RecordRunnerCrash(place.server.get());
@@ -371,7 +376,8 @@
   cancels_.RecordStart({runner.info().id, order.task}, order.run, now);
   first_starts_.emplace(order.task.job, now);
   start_times_.push_back(now);
-  // Runners come and go under the shed's lock, which is held here.
+  // Runners are added and removed under the lock of the shared runner state,
+  // which is held here.
   std::vector<emulator::RunName> running;
   for (const auto& place : places_) {
     if (place->server != nullptr) place->server->AddRunning(&running);
@@ -385,7 +391,7 @@
   const auto drain = draining_.find(runner.info().id);
   if (drain == draining_.end() || !checks_times_) return;
   const bool late = now - drain->second > kDrainBound + kDrainSlack;
-  if (late && faults_->AllCalm(drain->second - kTroubleEcho, now)) {
+  if (late && faults_->AllCalm(drain->second - kFaultExcuse, now)) {
     oracle_.Violate(absl::StrCat("start of ", ToString(order.task), " on ",
                                  runner.info().id.value(),
                                  ", which had said that it leaves"));
--- a/soak/soak_platform.h
+++ b/soak/soak_platform.h
@@ -1,5 +1,7 @@
 /// @file
-/// The platform of a soak: store, operator and runners in this process.
+/// Stand-in for the platform in a soak test: store, operator and runners in one
+/// process.
+/// process.
 //
 // Copyright (c) 2026 the limeledge authors.
 // SPDX-License-Identifier: MIT
@@ -26,86 +28,86 @@
 
 namespace limeledge::soak {
 
-/// Attempts that every queue gives a task.
+/// Number of attempts that every queue allows for a task.
 inline constexpr int kMaxAttempts = 3;
-/// What all calls name, and the key that always holds.
+/// Host name of all calls, and the key that is always valid.
 inline constexpr char kHost[] = "soak.example";
 inline constexpr char kKey[] = "standing-key";
-/// Prefixes of the queues of ordinary and urgent jobs.
+/// Path prefixes of the queues for ordinary and urgent jobs.
 inline constexpr char kOrdinaryPrefix[] = "/recompute/";
 inline constexpr char kUrgentPrefix[] = "/validate/";
-/// Accelerators that belong to the one workspace for urgent jobs.
+/// Accelerators guaranteed to the only workspace for urgent jobs.
 inline constexpr int kGuaranteedAccelerators = 16;
 
-/// Parts that a whole room has.
+/// Number of parts of the full capacity of a runner.
 inline constexpr int kWholeRoom = 4;
 
-/// The route that a version of the configuration brings; the version after the
-/// next one drops it.
+/// Returns the route that a configuration version adds; the second version
+/// after it drops the route.
 std::string ProbePrefix(std::int64_t version);
 
-/// When a version of the configuration was written.
+/// A configuration version, and when it was written.
 struct ConfigWrite {
   std::int64_t version = 0;
   TimePoint at;
 };
 
-/// Sees all that runners are told, through the oracle.
+/// Runs the stand-in platform; the oracle observes all orders to runners.
 ///
-/// Thread safety: all methods from any thread but for `Start` and `Stop`.
+/// Thread safety: all methods from any thread, except `Start` and `Stop`.
 class SoakPlatform : public standin::RunnerObserver {
  public:
-  /// `faults` outlives this object.
+  /// `faults` must outlive this object.
   SoakPlatform(const Experiment& experiment, const FaultLog* faults);
   ~SoakPlatform() override;
 
-  /// Begins to serve. Fails with `kUnavailable`.
+  /// Starts serving. Fails with `kUnavailable`.
   absl::Status Start();
   void Stop();
   Endpoint store_endpoint() const { return store_endpoint_; }
   standin::StoreServer& store() { return store_; }
 
-  // The operator.
-  /// Writes the next version of the configuration.
+  // Operator actions.
+  /// Writes the next configuration version.
   void WriteConfig();
   ConfigWrite newest_config() const;
 
-  // Runners, by their place from 0.
+  // Runners, by their index from 0.
   int runners() const { return static_cast<int>(places_.size()); }
   TcpProxy& runner_link(int place) { return places_[place]->link; }
-  /// The runner ends without a word; nothing answers until `ReviveRunner`.
+  /// Crashes the runner; nothing responds at its address until `ReviveRunner`.
   void KillRunner(int place);
-  /// Another life comes at the same address.
+  /// Starts a new incarnation at the same address.
   void ReviveRunner(int place);
   void DrainRunner(int place, Duration leaves_in);
   bool IsLeaving(int place) const;
-  /// Another life comes at once where a runner is leaving.
+  /// Immediately starts a new incarnation in place of a runner that is leaving.
   void ReplaceLeaving();
   void SetSlowness(int place, double factor);
-  /// The runner's room becomes so many of `kWholeRoom` parts.
+  /// Sets the runner's capacity to this many of `kWholeRoom` parts.
   void ShareRoom(int place, int parts);
   void SetFailing(int place, bool failing);
 
   // Jobs.
-  /// Begins to watch a job before it is sent.
+  /// Starts tracking a job, before it is submitted.
   void Watch(const dispatch::JobSpec& spec,
              const std::vector<emulator::TaskTruth>& truths);
-  /// Calls `use` with the oracle under its lock.
+  /// Calls `use` with the oracle while holding its lock.
   template <typename Use>
   auto WithOracle(Use use) {
     const std::lock_guard<std::mutex> lock(shed_.mutex);
     return use(oracle_);
   }
-  /// A caller was told that the job is cancelled.
+  /// Records that a cancel was acknowledged to a caller.
   void RecordCancellation(const JobId& job);
-  /// How long cancelled jobs ran.
+  /// Returns how long cancelled jobs kept running.
   CancelTimes cancel_times();
-  /// Adds a promise that was broken, for the report.
+  /// Records a violated invariant for the report.
   void Violate(const std::string& what);
-  /// When the first task of a job started; 0 if none did.
+  /// Returns the start time of the first task of a job; 0 if none started.
   TimePoint FirstStart(const JobId& job);
   int starts() const { return starts_; }
-  /// Longest time between two starts, or an end of the time and a start.
+  /// Returns the longest time without a start between `from` and `to`.
   Duration LongestTimeWithoutStart(TimePoint from, TimePoint to);
 
   void OnStart(const emulator::EmulatedRunner& runner,
@@ -118,7 +120,7 @@
   }
 
  private:
-  /// A machine: its runner's present life, and the link to it.
+  /// A machine: the current incarnation of its runner, and the link to it.
   struct Place {
     TcpProxy link;
     int port = 0;
@@ -126,12 +128,12 @@
     /// Null while the runner is down.
     std::unique_ptr<standin::RunnerServer> server;
   };
-  /// A place whose runner a task crashed.
+  /// A machine whose runner was crashed by a task.
   struct Crashed {
     int place = 0;
     TimePoint since;
   };
-  /// A life that ended without a word: its entry goes a while later.
+  /// An incarnation that ended without notice; its entry is removed later.
   struct Silent {
     RunnerId id;
     TimePoint since;
@@ -139,12 +141,12 @@
 
   void StartLife(int place);
   void Beat();
-  /// Looks at all that runs.
+  /// Samples all tasks that run.
   void Sample();
-  /// Ends runners that tasks crashed, and brings them back later.
+  /// Stops runners that tasks crashed, and restarts them later.
   void TendCrashed();
-  /// Notes what ran on a runner that crashes. Precondition: the shed's lock is
-  /// held.
+  /// Records the runs on a runner that crashes. Precondition: the lock of the
+  /// shared runner state is held.
   void RecordRunnerCrash(standin::RunnerServer* server);
   std::string EncodeConfig(std::int64_t version) const;
 
@@ -154,24 +156,27 @@
   standin::StoreServer store_;
   standin::SharedRunnerState shed_;
   emulator::PromiseOracle oracle_;
-  /// Under the shed's lock, as the oracle.
+  /// Guarded by the lock of the shared runner state, as the oracle is.
   CancelWatch cancels_;
   SteadyClock clock_;
-  /// Guards the places and the configuration; taken before the shed's lock.
+  /// Guards the machines and the configuration; acquired before the lock of the
+  /// shared runner state.
   mutable std::mutex mutex_;
   std::vector<std::unique_ptr<Place>> places_;
   std::vector<Silent> silent_;
-  /// Of the thread of beats.
+  /// Used only by the thread `beats_`.
   std::vector<Crashed> crashed_;
   bool guards_room_;
   bool keeps_ids_;
-  /// Under the shed's lock.
+  /// Guarded by the lock of the shared runner state.
   emulator::CapacityHistory rooms_;
   ConfigWrite newest_config_;
-  /// Runners that said that they leave, and when; under the shed's lock.
+  /// Runners that announced that they leave, and when; guarded by the lock of
+  /// the shared runner state.
   std::map<RunnerId, TimePoint> draining_;
   std::map<JobId, TimePoint> first_starts_;
-  /// Of all starts, rising; under the shed's lock.
+  /// Times of all starts in ascending order; guarded by the lock of the shared
+  /// runner state.
   std::vector<TimePoint> start_times_;
   std::atomic<int> starts_ = 0;
   std::atomic<bool> stopping_ = false;
--- a/soak/tcp_proxy.cc
+++ b/soak/tcp_proxy.cc
@@ -186,7 +186,7 @@
   }
 }
 
-void TcpProxy::Swallow(Link* link) {
+void TcpProxy::Discard(Link* link) {
   const bool open =
       Receive(&link->requests, Duration(0)) && !link->requests.ended;
   link->requests.chunks.clear();
@@ -213,7 +213,7 @@
 
 void TcpProxy::Serve(Link* link, const LinkFault& fault) {
   if (link->silent) {
-    Swallow(link);
+    Discard(link);
     return;
   }
   if (link->late) {
--- a/soak/tcp_proxy.h
+++ b/soak/tcp_proxy.h
@@ -98,7 +98,7 @@
   int Connect();
   void Serve(Link* link, const LinkFault& fault);
   /// Discards data on a silenced connection until the caller closes it.
-  void Swallow(Link* link);
+  void Discard(Link* link);
   /// Drops responses, and delivers delayed requests when they are due.
   void ServeLate(Link* link);
   /// Reads available data. Returns false if the connection broke.
--- a/soak/verdict.cc
+++ b/soak/verdict.cc
@@ -25,7 +25,7 @@
 constexpr Duration kUrgentBound{5900};
 // Starts are checked for this long after a fault that limits the time without
 // one.
-constexpr Duration kFaultIsFelt{4000};
+constexpr Duration kStartCheckWindow{4000};
 // The platform allows a task to fail after this many runners crashed while
 // running it.
 constexpr int kCrashesToGiveUp = 2;
@@ -137,7 +137,8 @@
     const TimePoint from = began_at + fault.at;
     StartGap gap;
     gap.fault = fault;
-    gap.longest = platform->LongestTimeWithoutStart(from, from + kFaultIsFelt);
+    gap.longest =
+        platform->LongestTimeWithoutStart(from, from + kStartCheckWindow);
     if (gap.longest > fault.starts_within) {
       platform->Violate(absl::StrCat("nothing started for ", gap.longest.ms(),
                                      " ms after ", ToString(fault.kind), " at ",
